--- a/internal/lease/bench_test.go
+++ b/internal/lease/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// benchInstallation is an installation whose messages take a tenth of a heartbeat interval and whose clocks agree. It has a
-// leader, and every job has a lease holder.
+// benchInstallation is an installation whose messages take a tenth of a heartbeat interval and whose clocks agree. When the benchmark
+// begins it has a leader, and every job has a lease holder.
 type benchInstallation struct {
 	names     []string
 	instances map[string]*Instance
@@ -66,11 +66,11 @@
 		clear(installation.messages)
 		return installation
 	}
-	b.Fatalf("%d instances with %d jobs never settled", instances, duties)
+	b.Fatalf("%d instances with %d jobs: not every job got a lease holder", instances, duties)
 	return nil
 }
 
-// settled finds the leader and a follower. It reports whether there is a leader and every job has a lease holder.
+// settled sets leader and follower. It reports whether there is a leader and every job has a lease holder.
 func (installation *benchInstallation) settled(duties []Duty) bool {
 	owned := 0
 	installation.leader, installation.follower = "", ""
@@ -90,7 +90,7 @@
 	return installation.leader != "" && owned == len(duties)
 }
 
-// heartbeat lets one heartbeat interval pass. The work of an instance in one tick is timed by two readings of the clock.
+// heartbeat simulates one heartbeat interval. The work of an instance in one tick is timed by two readings of the clock.
 func (installation *benchInstallation) heartbeat() {
 	for range ticksPerHeartbeat {
 		installation.now += benchTick
@@ -117,10 +117,10 @@
 	}
 }
 
-// benchmarkHeartbeats measures heartbeat intervals. One iteration is one period, so that each job runs once in it, many of them in
-// the same interval. ns/op is the time of all instances for a period, including the delivery of their messages. The other figures
-// are those of one instance for one interval; bytes are those of its messages without headers. The command that fits scaling laws
-// knows the units by name, so these keep their words for leader and follower.
+// benchmarkHeartbeats measures heartbeat intervals. One iteration is one period, in which each job runs once, many of them in the
+// same interval. ns/op is the time of all instances for a period, including the delivery of their messages. The other figures are
+// the processing time of one instance and the bytes of its messages, without headers, for one interval. The scaling command looks
+// the units up by name, so the leader is still named keeper and the follower member there.
 func benchmarkHeartbeats(b *testing.B, instances, duties int) {
 	installation := newBenchInstallation(b, instances, duties)
 	count := 0
@@ -151,8 +151,8 @@
 	}
 }
 
-// BenchmarkScaleDutyDuties measures a heartbeat interval by the number of jobs, each run every ten seconds, with 9 instances:
-// the leader is notified of each run in the interval in which it begins.
+// BenchmarkScaleDutyDuties measures a heartbeat interval by the number of jobs, each run every ten seconds, with 9 instances. The
+// leader is notified of each run in the interval in which the run begins.
 func BenchmarkScaleDutyDuties(b *testing.B) {
 	for _, n := range []int{100, 1000, 2500, 5000, 10000} {
 		b.Run(fmt.Sprintf("duties=%d", n), func(b *testing.B) { benchmarkHeartbeats(b, 9, n) })
@@ -169,7 +169,7 @@
 	return report
 }
 
-// reportSizes are the numbers of machines in the benchmarks of reports.
+// reportSizes has the numbers of machines in the benchmarks of reports.
 var reportSizes = []int{36, 72, 145, 290, 580}
 
 // BenchmarkScaleNewsAppend measures the encoding of the report of one run into a reused buffer.
@@ -187,7 +187,7 @@
 	}
 }
 
-// BenchmarkScaleNewsParse measures the decoding of that report.
+// BenchmarkScaleNewsParse measures the decoding of the report of one run.
 func BenchmarkScaleNewsParse(b *testing.B) {
 	for _, machines := range reportSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -202,7 +202,7 @@
 	}
 }
 
-// BenchmarkScaleNewsTake measures how a board accepts the report of a run, one run after another.
+// BenchmarkScaleNewsTake measures the time that a board takes to accept the report of one run.
 func BenchmarkScaleNewsTake(b *testing.B) {
 	for _, machines := range reportSizes {
 		b.Run(fmt.Sprintf("machines=%d", machines), func(b *testing.B) {
@@ -211,7 +211,7 @@
 			for b.Loop() {
 				report.Run++
 				if accepted := board.Accept(time.Duration(report.Run)*time.Second, report); len(accepted) != machines {
-					b.Fatalf("%d of %d accepted", len(accepted), machines)
+					b.Fatalf("%d of %d results were accepted", len(accepted), machines)
 				}
 			}
 		})
--- a/internal/lease/config_test.go
+++ b/internal/lease/config_test.go
@@ -20,52 +20,52 @@
 	}
 	for _, test := range []struct {
 		name        string
-		spoil       func(config *Config)
+		invalidate  func(config *Config)
 		wantSetting string
 		wantProblem string
 	}{
 		{
 			name:        "unknown name",
-			spoil:       func(config *Config) { config.Name = "z" },
+			invalidate:  func(config *Config) { config.Name = "z" },
 			wantSetting: "Name",
 			wantProblem: "not among",
 		},
 		{
 			name:        "an instance twice",
-			spoil:       func(config *Config) { config.Members = []string{"a", "b", "b"} },
+			invalidate:  func(config *Config) { config.Members = []string{"a", "b", "b"} },
 			wantSetting: "Members",
 			wantProblem: "two instances",
 		},
 		{
 			name:        "a job twice",
-			spoil:       func(config *Config) { config.Duties = append(config.Duties, config.Duties[0]) },
+			invalidate:  func(config *Config) { config.Duties = append(config.Duties, config.Duties[0]) },
 			wantSetting: "Name",
 			wantProblem: "two duties",
 		},
 		{
 			name: "timeout longer than period",
-			spoil: func(config *Config) {
+			invalidate: func(config *Config) {
 				config.Duties = []Duty{{Name: "x", Period: time.Second, Timeout: 2 * time.Second}}
 			},
 			wantSetting: "Timeout",
-			wantProblem: "under its time",
+			wantProblem: "at most the period",
 		},
 		{
 			name:        "heartbeat interval as long as the lease",
-			spoil:       func(config *Config) { config.Heartbeat = time.Second },
+			invalidate:  func(config *Config) { config.Heartbeat = time.Second },
 			wantSetting: "Lease",
-			wantProblem: "renewed each",
+			wantProblem: "at most a third",
 		},
 		{
 			name:        "drift of nine tenths",
-			spoil:       func(config *Config) { config.Drift = 0.9 },
+			invalidate:  func(config *Config) { config.Drift = 0.9 },
 			wantSetting: "Drift",
-			wantProblem: "a drift of",
+			wantProblem: "drift 0.9",
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			config := valid
-			test.spoil(&config)
+			test.invalidate(&config)
 			err := config.Check()
 			var configError *ConfigError
 			if !errors.As(err, &configError) || configError.Setting != test.wantSetting || !strings.Contains(err.Error(), test.wantProblem) {
--- a/internal/lease/election.go
+++ b/internal/lease/election.go
@@ -8,7 +8,7 @@
 
 // role is the state of an instance in the election of a leader. Only setRole changes it.
 //
-//	follower  -> candidate  it heard from no leader for the duration of a lease, and may vote for itself
+//	follower  -> candidate  it received nothing from a leader for the duration of a lease, and may vote for itself
 //	candidate -> leader     a majority voted for it
 //	candidate -> follower   it got no majority in time, another instance is leader, or it voted for another instance
 //	leader    -> candidate  its votes expired; it may win them again until it releases them
@@ -26,7 +26,7 @@
 	role            role
 	candidateTerm   uint64                // term for which the instance requests votes
 	leaderTerm      uint64                // term that a majority voted for; 0: none. Fencing tokens come from this term only
-	voteRounds      map[uint64]*voteRound // open rounds by sequence number
+	voteRounds      map[uint64]*voteRound // rounds in progress by sequence number
 	leaderUntil     time.Duration         // when the leadership expires
 	nextVoteRequest time.Duration         // when the next round of votes, or the next campaign, is due
 	inheritedTable  *leaseTable           // table of a leader that left, if this instance is its successor; nil otherwise
@@ -37,7 +37,7 @@
 
 // voteRound is one request for votes, sent to all instances.
 type voteRound struct {
-	askedAt            time.Duration
+	requestedAt        time.Duration
 	votes              map[string]bool // names of the instances that granted their vote
 	inheritedLeasesEnd time.Duration   // when all leases of leaders that left have expired
 	inheritedTerm      uint64          // highest term of those leaders
@@ -50,12 +50,12 @@
 
 	maxFencesPerTerm = 1<<fenceBits - 1
 
-	// maxTerm is the highest term of a message that an instance takes. It guards against a corrupt message: instances take on
-	// the highest term that they hear of, and above this one fencing tokens would overflow and fall.
+	// maxTerm is the highest term that is accepted in a message. Instances adopt the highest term that they receive. A corrupt
+	// message with a higher term would make fencing tokens overflow and fall.
 	maxTerm = 1<<(64-fenceBits) - 1
 )
 
-// setRole changes the role. A follower has no open rounds of votes.
+// setRole changes the role. For a follower it discards all rounds of votes in progress.
 func (n *Instance) setRole(to role) {
 	n.role = to
 	if to == follower {
@@ -66,8 +66,8 @@
 // IsLeader reports whether this instance is the leader and its leadership has not expired.
 func (n *Instance) IsLeader(now time.Duration) bool { return n.role == leader && now < n.leaderUntil }
 
-// LeaderlessFor returns for how long this instance has known no leader that a majority follows; 0: it knows one. Only grants
-// of leases show such a leader. Requests for votes do not, as any candidate sends them.
+// LeaderlessFor returns how long this instance has been without a known leader that a majority follows, or 0 if it knows one.
+// Only a lease grant shows that there is such a leader. A vote request does not, as any candidate sends them.
 func (n *Instance) LeaderlessFor(now time.Duration) time.Duration {
 	if n.IsLeader(now) && n.leaderTerm == n.candidateTerm {
 		return 0
@@ -81,7 +81,7 @@
 // HasLeader reports whether this instance knows a leader that a majority follows.
 func (n *Instance) HasLeader(now time.Duration) bool { return n.LeaderlessFor(now) == 0 }
 
-// expireLeadership makes a leader whose votes have expired a candidate. All leases that it granted have expired by then too.
+// expireLeadership turns a leader whose votes have expired into a candidate. All leases that it granted have expired by then too.
 func (n *Instance) expireLeadership(now time.Duration) {
 	if n.role != leader || now < n.leaderUntil {
 		return
@@ -93,8 +93,8 @@
 	n.setRole(candidate)
 }
 
-// campaign does what is due for the role. A leader asks for renewals of its votes, a candidate without a majority gives up, and
-// a follower becomes a candidate if it may.
+// campaign takes the next step of the election. A leader requests renewals of its votes, a candidate without a majority ends its
+// campaign, and a follower becomes a candidate if it may.
 func (n *Instance) campaign(now time.Duration) []Message {
 	switch {
 	case n.IsLeader(now):
@@ -109,8 +109,8 @@
 	return n.requestVotes(now)
 }
 
-// mayCampaign reports whether a follower may become a candidate: it heard from no leader for the duration of a lease, and no
-// other instance has its vote.
+// mayCampaign reports whether a follower may become a candidate: it is not leaving, it received nothing from a leader for the
+// duration of a lease, and no other instance has its vote.
 func (n *Instance) mayCampaign(now time.Duration) bool {
 	if n.leaving {
 		return false
@@ -128,41 +128,41 @@
 	n.candidateTerm, n.leaderTerm = n.highestTerm, 0
 }
 
-// endCampaign makes a candidate without a majority a follower. It releases its votes, as it will not count them any more.
+// endCampaign turns a candidate without a majority into a follower. It releases the votes, as they will no longer be counted.
 func (n *Instance) endCampaign(now time.Duration) []Message {
 	n.setRole(follower)
 	n.nextVoteRequest = now + n.config.Heartbeat + n.electionDelay(n.config.Lease)
 	return n.broadcast(now, voteRelease{term: n.candidateTerm}.message())
 }
 
-// requestVotes begins a round of votes.
+// requestVotes begins a round of votes and returns the requests.
 func (n *Instance) requestVotes(now time.Duration) []Message {
 	n.sequence++
 	n.dropExpiredRounds(now)
-	n.voteRounds[n.sequence] = &voteRound{askedAt: now, votes: map[string]bool{}}
+	n.voteRounds[n.sequence] = &voteRound{requestedAt: now, votes: map[string]bool{}}
 	n.nextVoteRequest = now + n.config.Heartbeat
-	if !n.IsLeader(now) { // the random delay keeps candidates that split the votes from asking at the same time again
+	if !n.IsLeader(now) { // the random delay keeps candidates that split the votes from requesting votes at the same time again
 		n.nextVoteRequest += n.randomPart(n.config.Lease)
 	}
 	request := voteRequest{term: n.candidateTerm, sequence: n.sequence, fromLeader: n.IsLeader(now)}
 	return n.broadcast(now, request.message())
 }
 
-// dropExpiredRounds drops rounds whose votes would have expired by now.
+// dropExpiredRounds discards rounds whose votes would have expired by now.
 func (n *Instance) dropExpiredRounds(now time.Duration) {
 	for sequence, round := range n.voteRounds {
-		if now-round.askedAt > n.config.Lease {
+		if now-round.requestedAt > n.config.Lease {
 			delete(n.voteRounds, sequence)
 		}
 	}
 }
 
-// learnTerms asks every other instance for the highest term that it knows. The first term of this instance comes from the wall
-// clock, which may have been set back since an earlier incarnation. An instance that voted or campaigned with that term alone
-// could help to elect a leader for a term that is over and whose fencing tokens were issued already. A request for term 0 is
-// never granted, but its response reports the term. The instance asks at each heartbeat interval of its quiet period, as it
-// does not vote before the end of that period.
-func (n *Instance) learnTerms() (out []Message) {
+// requestTerms requests from every other instance the highest term that it knows. The first term of this instance comes from the
+// wall clock, which may have been set back since an earlier incarnation. If the instance voted or campaigned with that term
+// alone, a leader could be elected for a past term, whose fencing tokens have already been issued. A vote request for term 0 is
+// never granted, but its response reports the highest term. The instance sends these requests at each heartbeat interval of its
+// quiet period, before it may vote.
+func (n *Instance) requestTerms() (out []Message) {
 	n.sequence++
 	for _, to := range n.config.Members {
 		if to == n.config.Name {
@@ -199,8 +199,9 @@
 	n.extendLeadership(now, round)
 }
 
-// handleRejectedVote learns the highest term. If the voter knows a higher term than the leader, as after its restart, the leader
-// requests votes for a term above that from now on. It issues no fencing tokens of that term before a majority has voted for it.
+// handleRejectedVote adopts the term of the response if it is the highest known. The voter may know a higher term than the leader,
+// for instance after the voter restarted. Then the leader requests votes for a term above that from now on. It issues no fencing
+// tokens of the new term before a majority has voted for it.
 func (n *Instance) handleRejectedVote(now time.Duration, response voteResponse) {
 	n.highestTerm = max(n.highestTerm, response.term)
 	if n.IsLeader(now) && n.candidateTerm < n.highestTerm {
@@ -211,8 +212,8 @@
 }
 
 // becomeLeader makes this instance the leader. If the previous leader handed its table over to this instance and no other
-// instance was leader since, it goes on with that table. Otherwise it begins with an empty table, which grants no lease before
-// all earlier leases have expired.
+// instance was leader since, this instance continues with that table. Otherwise it begins with an empty table, from which no
+// lease is granted before all earlier leases have expired.
 func (n *Instance) becomeLeader(now time.Duration, round *voteRound) {
 	n.counts.BecameLeader++
 	n.setRole(leader)
@@ -224,15 +225,15 @@
 	}
 	n.table.lastSetNumber = lastSetNumber
 	n.table.gatherUntil = now + n.config.Heartbeat               // every live instance sends a heartbeat within that time
-	for _, name := range slices.Sorted(maps.Keys(round.votes)) { // sorted, as the order decides the numbers of their sets
+	for _, name := range slices.Sorted(maps.Keys(round.votes)) { // sorted, as new members get their set numbers in this order
 		n.table.member(name).lastHeard = now
 	}
 }
 
-// extendLeadership renews the leadership by a round that a majority granted. It lasts from when the votes were requested, not
-// from when they were granted, so that it ends before the votes do.
+// extendLeadership renews the leadership after a majority has granted a round. Its duration counts from the request for the votes
+// rather than from their grant, so that the leadership ends before the votes expire.
 func (n *Instance) extendLeadership(now time.Duration, round *voteRound) {
-	n.leaderUntil = max(n.leaderUntil, round.askedAt+n.config.Lease)
+	n.leaderUntil = max(n.leaderUntil, round.requestedAt+n.config.Lease)
 	n.leaderTerm = n.candidateTerm
 	n.nextVoteRequest = min(n.nextVoteRequest, now+n.config.Heartbeat)
 }
--- a/internal/lease/election_test.go
+++ b/internal/lease/election_test.go
@@ -9,10 +9,11 @@
 )
 
 // TestRandomFaultSchedules runs schedules of loss, delay, duplication, partitions, pauses, kills and restarts, with clocks as far
-// apart as Config.Drift allows. No job has two lease holders, fencing tokens rise, and after the last fault every job runs again.
+// apart as Config.Drift allows. It checks that no job has two lease holders, that fencing tokens rise, and that every job runs
+// again after the last fault.
 func TestRandomFaultSchedules(t *testing.T) {
 	const recoverySteps = 450 // 9 s
-	seeds := []uint64{28673}  // this seed once found a fault
+	seeds := []uint64{28673}  // the schedule of this seed once failed
 	for seed := range uint64(*schedules) {
 		seeds = append(seeds, seed)
 	}
@@ -37,8 +38,9 @@
 	}
 }
 
-// TestWallClocksStepped restarts instances with wall clocks an hour behind, an hour ahead and at the same millisecond as before. No
-// job has two lease holders, fencing tokens still rise, and soon after the last restart each instance has leases.
+// TestWallClocksStepped restarts instances with wall clocks an hour behind, an hour ahead and at the same millisecond as before. It
+// checks that no job has two lease holders, that fencing tokens still rise, and that each instance has leases soon after the last
+// restart.
 func TestWallClocksStepped(t *testing.T) {
 	const restartLimit = 6 * time.Second // a quiet period and some elections
 	ahead, behind, same := 0, 0, 0
@@ -66,9 +68,9 @@
 	}
 }
 
-// TestTermsTooHighAreIgnored sends an instance messages of each kind with terms at which fencing tokens overflow. It keeps its term,
-// while it takes on the highest term at which they do not.
-func TestTermsTooHighAreIgnored(t *testing.T) {
+// TestReceiveIgnoresTermsAboveMaximum sends an instance messages of each kind with terms at which fencing tokens overflow. The
+// instance keeps its term. It adopts the highest term at which tokens do not overflow.
+func TestReceiveIgnoresTermsAboveMaximum(t *testing.T) {
 	const startTerm = 1000
 	for _, test := range []struct {
 		name     string
@@ -90,7 +92,7 @@
 				}, 0)
 				instance.Receive(0, Message{Kind: kind, From: "b", To: "a", Term: test.term})
 				got, want := instance.highestTerm, test.wantTerm
-				if kind != VoteRequest && kind != Vote { // an instance learns terms from these two alone
+				if kind != VoteRequest && kind != Vote { // an instance adopts terms from these two kinds only
 					want = startTerm
 				}
 				if got != want {
@@ -101,8 +103,8 @@
 	}
 }
 
-// TestSequenceNumbersDifferBetweenIncarnations starts incarnations in the same millisecond of the wall clock. No two of them send
-// requests with the same sequence number.
+// TestSequenceNumbersDifferBetweenIncarnations starts incarnations in the same millisecond of the wall clock, and checks that no two
+// of them send requests with the same sequence number. Otherwise one could accept a response to a request of an earlier one.
 func TestSequenceNumbersDifferBetweenIncarnations(t *testing.T) {
 	const minRequests = 4 // in 10 s
 	earlier := map[uint64]bool{}
@@ -135,7 +137,7 @@
 	}
 }
 
-// TestSimulationFindsInjectedBugs shows that the simulation finds bugs that are injected into the code under test.
+// TestSimulationFindsInjectedBugs checks that the simulation finds bugs that are injected into the code under test.
 func TestSimulationFindsInjectedBugs(t *testing.T) {
 	const (
 		twoHolders     = "is held by"
@@ -202,9 +204,9 @@
 	}
 }
 
-// TestTakeover has one of three instances fail, and its jobs run elsewhere within three seconds. Then a second one fails, and all
-// jobs stop, as one instance of three is no majority.
-func TestTakeover(t *testing.T) {
+// TestTakeoverAfterInstanceFailure stops one of three instances, and checks that its jobs run elsewhere within three seconds. Then it
+// stops a second one, and checks that no job runs any more, as one instance of three is not a majority.
+func TestTakeoverAfterInstanceFailure(t *testing.T) {
 	sim := newSimulation(simulationConfig{seed: 1, instances: 3, duties: 12, clockDrift: 0.02, assumedDrift: 0.02})
 	sim.stepFor(8 * time.Second)
 	shares := map[string]int{}
--- a/internal/lease/encode.go
+++ b/internal/lease/encode.go
@@ -12,13 +12,13 @@
 	messageFields     = 13 // values in the list that encodes a Message
 	leaseRecordFields = 6  // values in the list that encodes a LeaseRecord
 
-	// maxSpanMicroseconds is the longest span that is read. Longer spans are shortened to it, so that sums of spans do not
+	// maxSpanMicroseconds is the longest span that is decoded. Longer spans are shortened to it, so that sums of spans do not
 	// overflow.
 	maxSpanMicroseconds = uint64(1000 * time.Hour / time.Microsecond)
 )
 
-// Append appends an encoded message, without From and To. Spans are in whole microseconds. They are rounded so that no instance
-// uses a lease for longer, or waits for the end of a lease for less time.
+// Append appends an encoded message, without From and To. Spans are in whole microseconds. Rounding never lengthens the time for
+// which an instance uses a lease, and never shortens the time for which it waits for a lease to end.
 func Append(b []byte, message *Message) []byte {
 	b = msgpack.AppendList(b, messageFields)
 	b = msgpack.AppendUint(b, uint64(message.Kind))
@@ -65,8 +65,8 @@
 	return microsecondsDown(max(0, span) + time.Microsecond - 1)
 }
 
-// Parse reads an encoded message. It returns an error that wraps one of package msgpack if the bytes are no message, or if a list
-// or a name in it is longer than MaxDuties or MaxNameBytes allow.
+// Parse decodes a message. It returns an error that wraps one of package msgpack if raw is not a valid message, or if a list or a
+// name in it is longer than MaxDuties or MaxNameBytes allow.
 func Parse(raw []byte) (message Message, err error) {
 	values := msgpack.NewValues(raw)
 	values.List(messageFields)
@@ -84,7 +84,7 @@
 	message.Leases = parseLeaseRecords(values)
 	message.Returned = parseLeaseRecords(values)
 	if err := values.End(); err != nil {
-		return message, fmt.Errorf("reading a lease message: %w", err)
+		return message, fmt.Errorf("decoding a lease message: %w", err)
 	}
 	return message, nil
 }
@@ -107,7 +107,7 @@
 	return list
 }
 
-// parseSpan reads a span in microseconds, and shortens it to maxSpanMicroseconds.
+// parseSpan decodes a span in microseconds, and shortens it to maxSpanMicroseconds.
 func parseSpan(values *msgpack.Values) time.Duration {
 	return time.Duration(min(values.Uint(), maxSpanMicroseconds)) * time.Microsecond
 }
--- a/internal/lease/encode_test.go
+++ b/internal/lease/encode_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// FuzzMessages checks that no message makes an instance panic, and that a message that can be parsed survives encoding.
+// FuzzMessages checks that no message makes an instance panic, and that encoding and parsing a message again keeps its term and its
+// number of leases.
 func FuzzMessages(f *testing.F) {
 	f.Add(Append(nil, &Message{
 		Kind:     LeaseGrant,
--- a/internal/lease/exhaustive_test.go
+++ b/internal/lease/exhaustive_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// fault is what happens to one instance in one step of a steppedInstallation.
+// fault is a fault of one instance in one step of a steppedInstallation.
 type fault struct {
 	kind     faultKind
 	instance int // index of the instance
@@ -22,10 +22,10 @@
 const (
 	noFault         faultKind = iota
 	disconnected              // all messages from and to the instance are lost
-	paused                    // the instance does nothing, and its messages wait
-	restarted                 // the instance starts again
-	leaves                    // the instance leaves
-	messagesDelayed           // messages to the instance wait
+	paused                    // the instance does nothing, and messages to it are delivered in the next step
+	restarted                 // a new incarnation of the instance starts
+	leaves                    // the instance begins its graceful shutdown
+	messagesDelayed           // messages to the instance are delivered in the next step
 	lastFaultKind   = messagesDelayed
 )
 
@@ -34,8 +34,8 @@
 	exhaustiveDuty = "job"
 )
 
-// steppedInstallation is an installation with one job that proceeds in steps. All messages of a step arrive within the step, unless
-// a fault prevents that.
+// steppedInstallation is an installation with one job, simulated in steps. All messages sent in a step arrive within that step,
+// unless a fault prevents it.
 type steppedInstallation struct {
 	configs   []Config
 	instances []*Instance
@@ -46,7 +46,7 @@
 	violation string // description of the last violated rule; empty: none
 }
 
-// newSteppedInstallation returns an installation of the instances a, b and so on, in which no step has passed.
+// newSteppedInstallation returns an installation of instances named a, b and so on, before its first step.
 func newSteppedInstallation(instances int) *steppedInstallation {
 	installation := &steppedInstallation{}
 	var names []string
@@ -69,12 +69,12 @@
 	return installation
 }
 
-// now returns the time by the clocks of all instances, which agree.
+// now returns the present time. The clocks of all instances agree.
 func (installation *steppedInstallation) now() time.Duration {
 	return time.Duration(installation.steps) * exhaustiveStep
 }
 
-// step lets one step pass with a fault.
+// step simulates one step with a fault.
 func (installation *steppedInstallation) step(fault fault) {
 	installation.steps++
 	now := installation.now()
@@ -103,7 +103,7 @@
 	}
 }
 
-// deliver has the receiver handle a message, unless the fault prevents that, and returns the responses.
+// deliver passes a message to its receiver, unless the fault prevents that, and returns the responses.
 func (installation *steppedInstallation) deliver(now time.Duration, fault fault, message Message) []Message {
 	faulty := installation.configs[fault.instance].Name
 	switch fault.kind {
@@ -135,7 +135,8 @@
 		}
 		owner = name
 		if fence < installation.lastFence || fence == installation.lastFence && installation.lastOwner != name {
-			installation.violation = fmt.Sprintf("%s owns the job under %d, %s did under %d", name, fence, installation.lastOwner, installation.lastFence)
+			installation.violation = fmt.Sprintf("%s owns the job under token %d, before that %s owned it under token %d",
+				name, fence, installation.lastOwner, installation.lastFence)
 		}
 		installation.lastFence, installation.lastOwner = fence, name
 	}
@@ -149,8 +150,8 @@
 	})
 }
 
-// staying returns the number of instances that do not leave.
-func (installation *steppedInstallation) staying() (count int) {
+// countStaying returns the number of instances that are not leaving.
+func (installation *steppedInstallation) countStaying() (count int) {
 	for _, instance := range installation.instances {
 		if !instance.leaving {
 			count++
@@ -159,8 +160,8 @@
 	return count
 }
 
-// writeState writes all values of a state, except for counters that do not affect decisions. It follows pointers and writes maps in
-// the order of their keys.
+// writeState writes all values of a state, except for counters that do not affect decisions. It follows pointers, and writes maps
+// in the order of their keys.
 func writeState(state reflect.Value, write func(format string, args ...any)) {
 	switch state.Kind() {
 	case reflect.Pointer:
@@ -189,22 +190,22 @@
 	}
 }
 
-// scheduleSearch runs every schedule of up to a number of faults in an installation.
+// scheduleSearch runs every schedule of up to a given number of faults in an installation.
 type scheduleSearch struct {
 	t         *testing.T
 	instances int             // number of instances
-	runs      int             // schedules that were run
-	states    map[uint64]bool // hashes of states after the last fault, of the sampled runs
+	runs      int             // number of schedules run
+	states    map[uint64]bool // hashes of the states after the last fault, in the sampled runs
 }
 
 const (
-	faultSteps       = 9  // steps in which faults happen, from when the job first has an owner
-	recoverySteps    = 30 // steps after them
+	faultSteps       = 9  // steps with faults, which begin once the job has had an owner
+	recoverySteps    = 30 // steps after those, without faults
 	recoveryLimit    = 25 // recovery steps within which the job has an owner again
-	stateSampleEvery = 16 // states are counted in one run of this many
+	stateSampleEvery = 16 // states are counted in one of this many runs
 )
 
-// runAll runs a schedule, and all schedules that add up to a number of further faults after its last step.
+// runAll runs a schedule, and all schedules that extend it by up to furtherFaults faults after its last step.
 func (search *scheduleSearch) runAll(schedule []fault, furtherFaults int) {
 	search.t.Helper()
 	search.run(schedule)
@@ -222,7 +223,7 @@
 	}
 }
 
-// run runs a schedule. It fails the test if a rule is violated or the job stays without an owner.
+// run runs a schedule. It fails the test if a rule is violated, or if the job has no owner long after the last fault.
 func (search *scheduleSearch) run(schedule []fault) {
 	search.t.Helper()
 	search.runs++
@@ -247,7 +248,7 @@
 			lastOwned = i
 		}
 	}
-	hasMajority := installation.staying() > search.instances/2
+	hasMajority := installation.countStaying() > search.instances/2
 	if hasMajority && lastOwned < faultSteps+recoveryLimit {
 		search.t.Fatalf("%d instances, faults by step %v: the job last had an owner in step %d, want one in step %d or later",
 			search.instances, schedule, lastOwned, faultSteps+recoveryLimit)
@@ -261,14 +262,14 @@
 	search.states[sum.Sum64()] = true
 }
 
-// TestAllFaultSchedulesOfSmallInstallations runs every schedule of up to a number of faults in installations of two and three
-// instances. None violates the rules, and the job has an owner again soon after the last fault.
+// TestAllFaultSchedulesOfSmallInstallations runs every schedule of up to the number of faults in the flag faults, in installations of
+// two and three instances. It checks that none violates the rules, and that the job has an owner again soon after the last fault.
 func TestAllFaultSchedulesOfSmallInstallations(t *testing.T) {
 	const minRuns = 1000
 	for _, instances := range []int{2, 3} {
 		search := &scheduleSearch{t: t, instances: instances, states: map[uint64]bool{}}
 		search.runAll(nil, *faults)
-		t.Logf("%d instances: %d schedules, %d states in one of %d of them", instances, search.runs, len(search.states), stateSampleEvery)
+		t.Logf("%d instances: %d schedules, %d states in one of every %d schedules", instances, search.runs, len(search.states), stateSampleEvery)
 		if search.runs < minRuns {
 			t.Errorf("%d instances: got %d schedules, want at least %d", instances, search.runs, minRuns)
 		}
--- a/internal/lease/handover.go
+++ b/internal/lease/handover.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// mayHandOver reports whether a leaving leader can hand over: it holds no lease itself any more, and all its votes are for one
-// term.
+// mayHandOver reports whether a leaving leader may hand over: it no longer holds a lease itself, and it is not changing to a
+// higher term.
 func (n *Instance) mayHandOver(now time.Duration) bool {
 	return n.leaving && n.IsLeader(now) && n.hasNoLease(now) && n.leaderTerm == n.candidateTerm
 }
@@ -16,9 +16,9 @@
 func (n *Instance) handOver(now time.Duration) (out []Message) {
 	longest, table := n.table.export(now)
 	release := voteRelease{
-		term:       n.candidateTerm,
-		leasesLast: max(longest, 1), // above 0, which tells the receiver that the sender was leader
-		blockedFor: max(0, n.table.blockedUntil-now),
+		term:            n.candidateTerm,
+		leasesRemaining: max(longest, 1), // a value above 0 marks the sender as a leader
+		blockedFor:      max(0, n.table.blockedUntil-now),
 	}
 	successor := n.successor(now)
 	n.setRole(follower)
@@ -34,7 +34,7 @@
 	return out
 }
 
-// successor returns the first other instance, in the order of the configuration, that is available; empty: there is none.
+// successor returns the first other instance, in the order of the configuration, that is available, or "" if there is none.
 func (n *Instance) successor(now time.Duration) string {
 	for _, name := range n.config.Members {
 		peer := n.table.members[name]
@@ -45,7 +45,8 @@
 	return ""
 }
 
-// export returns the complete table for the successor, and the longest remaining time of any lease.
+// export returns the complete table for the successor, and the longest remaining time of any lease granted by this or an earlier
+// leader.
 func (table *leaseTable) export(now time.Duration) (longest time.Duration, records []LeaseRecord) {
 	longest = max(0, table.blockedUntil-now)
 	for _, name := range slices.Sorted(maps.Keys(table.leases)) {
@@ -67,7 +68,7 @@
 	return longest, records
 }
 
-// importTable returns the table that a leader handed over to this instance, with all times by the clock of this instance.
+// importTable returns the table that a leader handed over to this instance, with all times converted to the clock of this instance.
 func (n *Instance) importTable(now time.Duration, release voteRelease) *leaseTable {
 	table := newLeaseTable(now + n.config.longestSpan(release.blockedFor))
 	table.term = release.term
--- a/internal/lease/healthreport.go
+++ b/internal/lease/healthreport.go
@@ -12,7 +12,7 @@
 	Node        uint32 // number of the machine
 	StartedUnix int64  // start of the machine in Unix milliseconds; 0: long ago
 	Alive       bool
-	Age         time.Duration // since the check began
+	Age         time.Duration // time since the check began
 }
 
 // HealthReport is the results of one run of a health check job.
@@ -24,19 +24,19 @@
 }
 
 const (
-	maxMachines    = 16000            // machines in one report, and on a HealthBoard
-	resultLifetime = 10 * time.Minute // a full HealthBoard forgets a machine without an accepted result for longer
+	maxMachines    = 16000            // maximum number of machines in one report and on a HealthBoard
+	resultLifetime = 10 * time.Minute // a full HealthBoard drops a machine whose last accepted result is older
 
 	healthReportFields  = 4       // values in the list that encodes a HealthReport
 	machineHealthFields = 4       // values in the list that encodes a MachineHealth
-	maxStartedUnix      = 1 << 62 // later starts are read as this one, so that the number fits an int64
+	maxStartedUnix      = 1 << 62 // later starts are decoded as this one, so that the number fits in an int64
 
-	minForInconclusive = 3 // results of fewer machines are always conclusive
+	minInconclusiveMachines = 3 // the results of fewer machines are always conclusive
 )
 
-// HealthBoard knows the newest result of each machine, and rejects older ones. The newest result is that of the latest start of
-// the machine, then of the highest fencing token, then of the latest run. So a late report of an instance that has lost the
-// lease does not overwrite a newer result. A board has up to maxMachines machines.
+// HealthBoard stores which result of each machine is the newest, and rejects older ones. Results are compared by the start of the
+// machine, then by the fencing token, then by the number of the run. So a late report of an instance that has lost the lease does
+// not overwrite a newer result. A board has up to maxMachines machines.
 type HealthBoard struct {
 	accepted map[uint32]acceptedResult
 }
@@ -51,7 +51,7 @@
 // NewHealthBoard returns an empty board.
 func NewHealthBoard() *HealthBoard { return &HealthBoard{accepted: map[uint32]acceptedResult{}} }
 
-// Accept returns the results of a report that are newer than what is known.
+// Accept returns those results of a report that are newer than the stored ones, and stores them.
 func (board *HealthBoard) Accept(now time.Duration, report *HealthReport) (newer []MachineHealth) {
 	for _, machine := range report.Machines {
 		if !board.mayAccept(now, report, machine) {
@@ -68,7 +68,8 @@
 	return newer
 }
 
-// mayAccept reports whether a result is newer than the known one, or is of another machine for which there is capacity.
+// mayAccept reports whether a result is newer than the stored one of its machine, or is of a new machine for which there is
+// capacity.
 func (board *HealthBoard) mayAccept(now time.Duration, report *HealthReport, machine MachineHealth) bool {
 	known, isKnown := board.accepted[machine.Node]
 	if !isKnown {
@@ -77,7 +78,7 @@
 	return known.olderThan(machine.StartedUnix, report.Fence, report.Run)
 }
 
-// olderThan reports whether a known result is older than another one.
+// olderThan reports whether a stored result is older than another one.
 func (known acceptedResult) olderThan(startedUnix int64, fence, run uint64) bool {
 	if known.startedUnix != startedUnix {
 		return known.startedUnix < startedUnix
@@ -88,7 +89,7 @@
 	return known.run < run
 }
 
-// hasCapacity reports whether there is capacity for another machine. A full board forgets machines past resultLifetime.
+// hasCapacity reports whether there is capacity for another machine. From a full board it first drops machines past resultLifetime.
 func (board *HealthBoard) hasCapacity(now time.Duration) bool {
 	if len(board.accepted) < maxMachines {
 		return true
@@ -101,9 +102,9 @@
 	return len(board.accepted) < maxMachines
 }
 
-// Inconclusive reports whether the instance that made the health checks may itself be the cause of the results: of at least three
-// machines more than half did not respond, so that instance may be cut off from them. If the machines really are down, all
-// instances see that by themselves.
+// Inconclusive reports whether the instance that made the health checks may itself be the cause of the results. That is so if more
+// than half of at least three machines did not respond: the instance may be disconnected from them. If the machines really are
+// down, every instance detects that itself.
 func Inconclusive(results []MachineHealth) bool {
 	unresponsive := 0
 	for _, result := range results {
@@ -111,7 +112,7 @@
 			unresponsive++
 		}
 	}
-	return len(results) >= minForInconclusive && 2*unresponsive > len(results)
+	return len(results) >= minInconclusiveMachines && 2*unresponsive > len(results)
 }
 
 // AppendHealthReport appends an encoded report. Ages are in microseconds, rounded up.
@@ -132,8 +133,8 @@
 	return b
 }
 
-// ParseHealthReport reads an encoded report. It returns an error that wraps one of package msgpack if the bytes are no report, or
-// if it has more than maxMachines machines.
+// ParseHealthReport decodes a report. It returns an error that wraps one of package msgpack if raw is not a valid report, or if the
+// report has more than maxMachines machines.
 func ParseHealthReport(raw []byte) (report HealthReport, err error) {
 	values := msgpack.NewValues(raw)
 	values.List(healthReportFields)
@@ -153,7 +154,7 @@
 		})
 	}
 	if err := values.End(); err != nil {
-		return report, fmt.Errorf("reading a health report: %w", err)
+		return report, fmt.Errorf("decoding a health report: %w", err)
 	}
 	return report, nil
 }
--- a/internal/lease/healthreport_test.go
+++ b/internal/lease/healthreport_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestHealthBoardRejectsOlderResults gives a board results of one machine, one after the other. It rejects those of an older start
-// of the machine, of a lower fencing token and of an earlier run.
+// TestHealthBoardRejectsOlderResults passes a board one result of a machine after another. The board must reject results of an older
+// start of the machine, of a lower fencing token and of an earlier run.
 func TestHealthBoardRejectsOlderResults(t *testing.T) {
 	board := NewHealthBoard()
 	for _, step := range []struct {
--- a/internal/lease/history_test.go
+++ b/internal/lease/history_test.go
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// ownershipChange is an instance getting or losing the lease of a job.
+// ownershipChange records that an instance got or lost the lease of a job.
 type ownershipChange struct {
 	acquired bool
 	owner    string
@@ -15,7 +15,8 @@
 }
 
 // ownership is the model of a lock with fencing tokens. The history of each job must be a history of such a lock. The state of the
-// model is the last change. The last owner may acquire the lock again under the same token, as after a renewal that came late.
+// model is the last change. The last owner may acquire the lock again under the same token, as happens if a renewal arrives after
+// the lease has expired.
 var ownership = porcupine.Model{
 	Init: func() any { return ownershipChange{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -29,8 +30,8 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// history lets steps with faults pass, and returns the changes of ownership of one job. Each change has the interval of the step
-// in which it was observed.
+// history simulates steps with faults, and returns the changes of ownership of one job. Each change has the interval of the step in
+// which it was observed.
 func history(sim *simulation, duty string) (operations []porcupine.Operation) {
 	fences := map[string]uint64{} // by instance; 0: it does not own the job
 	for range scheduleSteps {
@@ -57,7 +58,7 @@
 }
 
 // TestOwnershipIsLinearizable checks the owners of a job, as observed from outside, against the model of a lock with fencing
-// tokens. With clocks further apart than Config.Drift the check must fail, which shows that it can.
+// tokens. It also runs clocks that drift by more than Config.Drift: the check must then fail, which shows that it detects faults.
 func TestOwnershipIsLinearizable(t *testing.T) {
 	const (
 		checkTimeout = 5 * time.Second
@@ -81,5 +82,5 @@
 			return
 		}
 	}
-	t.Error("got 400 histories of a lock with clocks that drift by 30% and are assumed not to drift, want one that is not")
+	t.Error("clocks that drift by 30% with Config.Drift 0: got 400 histories that are those of a lock, want at least one that is not")
 }
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -9,38 +9,38 @@
 
 // holderState is the state of an instance as lease holder.
 type holderState struct {
-	leader            string                    // instance that was voted for last, which gets the heartbeats; empty: none yet
-	lastLeaderContact time.Duration             // last message of a leader, or of a candidate that got the vote; 0: never
-	lastGrant         time.Duration             // last renewal of leases, which only a leader with a majority sends; 0: never
-	openHeartbeats    map[uint64]*sentHeartbeat // by sequence number
+	leader            string                    // instance that got the last vote, to which heartbeats are sent; empty: none yet
+	lastLeaderContact time.Duration             // time of the last message of a leader, or of a candidate that got the vote; 0: never
+	lastGrant         time.Duration             // time of the last lease grant, which only a leader with a majority sends; 0: never
+	openHeartbeats    map[uint64]*sentHeartbeat // heartbeats without a response by sequence number
 	nextHeartbeat     time.Duration             // when the next heartbeat is due
 	setTerm           uint64                    // term of the leader that granted the present set of leases
 	setNumber         uint64                    // number of that set
 	leases            map[string]*heldLease     // by job
 	sortedLeases      []*heldLease              // the same leases, sorted by job
-	returned          []LeaseRecord             // returned leases whose return the leader has not acknowledged
+	returned          []LeaseRecord             // leases whose return the leader has not acknowledged
 	duties            map[string]*Duty          // configured jobs by name
 	runCount          uint64                    // number of runs begun
-	nextRun           time.Duration             // no run is due before
+	nextRun           time.Duration             // no run is due before this time
 }
 
 // sentHeartbeat is a heartbeat that has no response yet.
 type sentHeartbeat struct {
 	sentAt       time.Duration
 	reportedRuns map[string]time.Duration // by job: when the reported run began
-	returned     []LeaseRecord            // reported returns
+	returned     []LeaseRecord            // leases that it returned
 }
 
-// heldLease is a job of which this instance has, or had, the lease.
+// heldLease is the lease of a job at this instance. It stays in the list after it has expired, as it may be renewed later.
 type heldLease struct {
 	runHistory
 
 	duty          string
 	fence         uint64
 	expires       time.Duration // 0: the lease has expired, and the expiry was counted
-	returning     bool          // the lease is not in the set any more, and is returned once its run has ended
+	returning     bool          // the lease is no longer in the set, and is returned once its run has ended
 	nextRun       time.Duration // when the next run is due
-	runUnreported bool          // the leader does not know of the last run yet
+	runUnreported bool          // the leader has not acknowledged the last run yet
 	activeRun     uint64        // number of the run in progress; 0: none
 	activeRunEnds time.Duration // deadline of that run
 }
@@ -53,7 +53,7 @@
 	return held.activeRun != 0 && now < held.activeRunEnds
 }
 
-// indexDuties makes the map of jobs anew. It marks the leases of jobs that are no longer configured for return.
+// indexDuties rebuilds the map of jobs. It marks leases whose jobs are no longer configured to be returned.
 func (n *Instance) indexDuties() {
 	n.duties = make(map[string]*Duty, len(n.config.Duties))
 	for i := range n.config.Duties {
@@ -82,15 +82,15 @@
 	return len(n.returned) == 0 && !slices.ContainsFunc(n.sortedLeases, isValid)
 }
 
-// sendHeartbeat reports to the leader that this instance is alive, which runs began and which leases it returns. To a new leader
-// it reports all its leases.
+// sendHeartbeat reports to the leader that this instance is alive, which runs it began and which leases it returns. To a new
+// leader it reports all its leases.
 func (n *Instance) sendHeartbeat(now time.Duration) []Message {
 	n.nextHeartbeat = now + n.config.Heartbeat
 	n.sequence++
 	n.dropExpiredHeartbeats(now)
 	sent := &sentHeartbeat{sentAt: now, reportedRuns: map[string]time.Duration{}, returned: slices.Clone(n.returned)}
 	n.openHeartbeats[n.sequence] = sent
-	beat := heartbeat{
+	hb := heartbeat{
 		term:      n.highestTerm,
 		sequence:  n.sequence,
 		leaving:   n.leaving,
@@ -100,16 +100,16 @@
 		setTerm:   n.setTerm,
 	}
 	for _, held := range n.sortedLeases {
-		if !held.runUnreported && !beat.complete {
+		if !held.runUnreported && !hb.complete {
 			continue
 		}
 		sent.reportedRuns[held.duty] = held.lastRun
-		beat.runs = append(beat.runs, LeaseRecord{Duty: held.duty, Fence: held.fence, HasRun: held.hasRun, SinceRun: now - held.lastRun})
+		hb.runs = append(hb.runs, LeaseRecord{Duty: held.duty, Fence: held.fence, HasRun: held.hasRun, SinceRun: now - held.lastRun})
 	}
-	return n.deliver(now, n.leader, beat.message())
+	return n.deliver(now, n.leader, hb.message())
 }
 
-// dropExpiredHeartbeats drops heartbeats that are so old that a grant in response to them would have expired.
+// dropExpiredHeartbeats discards heartbeats so old that a grant in response to them would have expired.
 func (n *Instance) dropExpiredHeartbeats(now time.Duration) {
 	for sequence, sent := range n.openHeartbeats {
 		if now-sent.sentAt > n.config.Lease {
@@ -118,8 +118,8 @@
 	}
 }
 
-// handleGrant accepts and renews leases. They last from when the heartbeat was sent, and expire here before they expire at the
-// leader. So leases that a stalled leader grants too late have expired already, and are rejected.
+// handleGrant accepts and renews leases. Their duration counts from when the heartbeat was sent, so that they expire here before
+// they expire at the leader. A grant that a stalled leader sends too late has already expired and is rejected.
 func (n *Instance) handleGrant(now time.Duration, grant leaseGrant) {
 	sent := n.openHeartbeats[grant.sequence]
 	if sent == nil || !n.mayAccept(grant) {
@@ -148,7 +148,7 @@
 	return grant.complete && later
 }
 
-// acknowledge records that the leader knows what a heartbeat reported.
+// acknowledge records that the leader has processed the runs and returns in a heartbeat.
 func (n *Instance) acknowledge(sent *sentHeartbeat) {
 	for name, began := range sent.reportedRuns {
 		if held := n.leases[name]; held != nil && held.lastRun == began {
@@ -185,7 +185,7 @@
 
 // adoptLease adopts one lease of a set.
 func (n *Instance) adoptLease(now time.Duration, record LeaseRecord) {
-	if n.hasReturned(record) { // the leader does not know of the return yet
+	if n.hasReturned(record) { // the leader has not processed the return yet
 		return
 	}
 	duty := n.duties[record.Duty]
@@ -199,7 +199,7 @@
 		return
 	}
 	held.fence = record.Fence
-	ranElsewhere := held.learn(now, record)
+	ranElsewhere := held.merge(now, record)
 	if isNew || ranElsewhere {
 		n.schedule(now, held, duty)
 	}
@@ -213,7 +213,7 @@
 }
 
 // acquireLease returns the lease of a job for renewal, and whether this instance had none before. A lease that had expired counts
-// as acquired again. Another instance may have had it since, so a run in progress is void.
+// as acquired again. Its run in progress is void, as another instance may have had the lease in the meantime.
 func (n *Instance) acquireLease(now time.Duration, duty string) (held *heldLease, isNew bool) {
 	held = n.leases[duty]
 	if held == nil {
@@ -229,8 +229,8 @@
 	return held, false
 }
 
-// declineLease returns a lease of a job that is not configured here, or any lease if this instance leaves. A lease that this
-// instance has already is returned once its run has ended, under the newest fencing token.
+// declineLease returns a granted lease that this instance cannot use: its job is not configured here, or the instance is leaving.
+// A lease that this instance already has is returned once its run has ended, under the newest fencing token.
 func (n *Instance) declineLease(now time.Duration, record LeaseRecord) {
 	if held := n.leases[record.Duty]; held != nil && held.valid(now) {
 		held.fence = max(held.fence, record.Fence)
@@ -239,13 +239,13 @@
 	n.returned = append(n.returned, LeaseRecord{Duty: record.Duty, Fence: record.Fence})
 }
 
-// returnLeases returns the leases that are no longer in the set, or all leases if this instance leaves. A lease with a run in
+// returnLeases returns the leases that are no longer in the set, or all leases if this instance is leaving. A lease with a run in
 // progress is returned after the run. The function also counts leases that have expired.
 func (n *Instance) returnLeases(now time.Duration) {
 	n.sortedLeases = slices.DeleteFunc(n.sortedLeases, func(held *heldLease) bool {
 		held.returning = held.returning || n.leaving
 		if !held.returning {
-			n.noteExpiry(now, held)
+			n.recordExpiry(now, held)
 			return false
 		}
 		if held.valid(now) && held.running(now) {
@@ -256,8 +256,8 @@
 	})
 }
 
-// noteExpiry counts a lease that has expired, once. Its run in progress is void.
-func (n *Instance) noteExpiry(now time.Duration, held *heldLease) {
+// recordExpiry counts a lease that has expired, once, and voids its run in progress.
+func (n *Instance) recordExpiry(now time.Duration, held *heldLease) {
 	if held.valid(now) || held.expires <= 0 {
 		return
 	}
@@ -265,7 +265,7 @@
 	n.counts.Expired++
 }
 
-// endLease forgets a lease. If it has not expired, it is returned to the leader with a heartbeat that is due at once.
+// endLease removes a lease. If it has not expired, it is returned to the leader with a heartbeat that becomes due at once.
 func (n *Instance) endLease(now time.Duration, held *heldLease) {
 	delete(n.leases, held.duty)
 	if !held.valid(now) {
--- a/internal/lease/instance.go
+++ b/internal/lease/instance.go
@@ -1,17 +1,18 @@
 // Package lease elects a leader among the director instances of an installation and grants leases for periodic jobs. No job has
-// two lease holders at a time, whatever happens to messages, as long as clocks stay within Config.Drift. No job is forgotten. The
-// package does no I/O, starts no goroutine and reads no clock: it is given messages and times, and returns messages to send and
-// runs to begin.
+// two lease holders at a time, even if messages are lost, delayed or duplicated, as long as clocks stay within Config.Drift. After
+// failures every job gets a lease holder again, once a majority of the instances can reach each other. The package does no I/O,
+// starts no goroutine and reads no clock: the caller passes it messages and times, and it returns messages to send and runs to
+// begin.
 //
 // At most one instance at a time is the leader: a majority has voted for it, and votes for no other until the votes expire. The
 // leader grants leases to instances that send heartbeats, never for longer than its own votes last. An instance that uses a
-// lease or a vote measures its duration by its own clock, from before it sent the request. An instance that waits for one to
-// expire waits longer, by as much as two clocks may differ (Config.Drift). So a lease has expired at its holder before any other
-// instance can get it. Likewise all leases of a leader have expired before another instance grants any, unless a leaving leader
-// hands them over in its table.
+// lease or a vote measures its duration by its own clock, from before it sent the request. An instance that waits for a lease or a
+// vote to expire waits longer, by as much as two clocks may differ (Config.Drift). Therefore a lease has expired at its holder
+// before any other instance can get it. Likewise all leases of a leader have expired before another instance grants any, unless
+// a leaving leader hands them over in its table.
 //
-// Nothing is stored over a restart. An instance that starts does not know whether it voted before. Therefore it does not vote in
-// a quiet period, until a vote of its earlier incarnation has expired.
+// Nothing is stored across a restart, so an instance that starts cannot determine whether it voted before. Therefore it does not
+// vote during a quiet period, until a vote of its earlier incarnation has expired.
 package lease
 
 import (
@@ -19,11 +20,12 @@
 	"time"
 )
 
-// Instance is one instance of an installation. It is a voter and a lease holder, and may be candidate or leader. All times are by
-// its own monotonic clock, as durations since a fixed moment such as the start of the process. It is not safe for concurrent use.
+// Instance is one instance of an installation. It is a voter and a lease holder, and may be a candidate or the leader. All times are
+// readings of its own monotonic clock, as durations since a fixed moment such as the start of the process. It is not safe for
+// concurrent use.
 type Instance struct {
 	config   Config
-	quorum   int           // number of votes that is a majority
+	quorum   int           // number of votes that make a majority
 	started  time.Duration // time of the call of New
 	draws    uint64        // number of random numbers drawn
 	sequence uint64        // sequence number of the last request or heartbeat
@@ -57,14 +59,14 @@
 	return n
 }
 
-// QuietPeriod returns for how long after its start the instance does not vote.
+// QuietPeriod returns how long after its start the instance does not vote.
 func (n *Instance) QuietPeriod() time.Duration { return n.quietUntil - n.started }
 
-// Leave begins the graceful shutdown of the instance. From now on it accepts no leases. It returns those that it has as their runs
-// end, and as leader it hands its table over. HasLeft reports when that is done.
+// Leave begins the graceful shutdown of the instance. From now on it accepts no leases. It returns each lease that it has once the
+// run of the job has ended, and as leader it then hands its table over. HasLeft reports whether that is done.
 func (n *Instance) Leave() { n.leaving, n.nextHeartbeat = true, 0 }
 
-// HasLeft reports whether a leaving instance has no lease any more and is not the leader.
+// HasLeft reports whether a leaving instance no longer has any lease and is not the leader.
 func (n *Instance) HasLeft(now time.Duration) bool {
 	return n.leaving && !n.IsLeader(now) && n.hasNoLease(now)
 }
@@ -77,16 +79,16 @@
 	n.table.planStale = true
 }
 
-// Tick does what is due by now and returns the messages to send. Call it about ten times per heartbeat interval.
+// Tick performs all actions that are due and returns the messages to send. Call it about ten times per heartbeat interval.
 func (n *Instance) Tick(now time.Duration) (out []Message) {
 	n.expireLeadership(now)
 	n.returnLeases(now)
 	if n.mayHandOver(now) {
 		return n.handOver(now)
 	}
-	if now < n.quietUntil && now >= n.nextLearn {
-		n.nextLearn = now + n.config.Heartbeat
-		out = append(out, n.learnTerms()...)
+	if now < n.quietUntil && now >= n.nextTermRequest {
+		n.nextTermRequest = now + n.config.Heartbeat
+		out = append(out, n.requestTerms()...)
 	}
 	if now >= n.nextVoteRequest && now >= n.quietUntil {
 		out = append(out, n.campaign(now)...)
@@ -97,8 +99,8 @@
 	return out
 }
 
-// Receive handles a message and returns the messages to send. It ignores a message that is not addressed to this instance, or that
-// is not from a member.
+// Receive handles a message and returns the messages to send. It ignores a message that is not addressed to this instance, that is
+// not from a member, or that contains a term above maxTerm.
 func (n *Instance) Receive(now time.Duration, message Message) []Message {
 	if message.To != n.config.Name || !slices.Contains(n.config.Members, message.From) ||
 		max(message.Term, message.SetTerm, message.InheritedTerm) > maxTerm {
@@ -119,7 +121,7 @@
 	return nil
 }
 
-// broadcast delivers a message to every instance, this one included.
+// broadcast delivers a message to every instance, including this one.
 func (n *Instance) broadcast(now time.Duration, message Message) (out []Message) {
 	for _, to := range n.config.Members {
 		out = append(out, n.deliver(now, to, message)...)
--- a/internal/lease/leader.go
+++ b/internal/lease/leader.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// handleHeartbeat updates the table of the leader by a heartbeat, and responds with a grant as soon as leases may be granted.
-func (n *Instance) handleHeartbeat(now time.Duration, from string, beat heartbeat) []Message {
+// handleHeartbeat updates the table of the leader from a heartbeat. It responds with a grant if leases may be granted yet.
+func (n *Instance) handleHeartbeat(now time.Duration, from string, hb heartbeat) []Message {
 	if !n.IsLeader(now) || n.leaderTerm == 0 {
 		return nil
 	}
 	sender := n.table.member(from)
-	sender.lastHeard, sender.leaving = now, beat.leaving
-	n.table.takeBack(now, from, beat.returned)
-	for _, run := range beat.runs {
-		n.table.learnRun(now, from, run, beat.complete)
+	sender.lastHeard, sender.leaving = now, hb.leaving
+	n.table.acceptReturns(now, from, hb.returned)
+	for _, run := range hb.runs {
+		n.table.recordRun(now, from, run, hb.complete)
 	}
 	if !n.mayGrant(now) {
 		return nil
 	}
 	n.table.plan(now, &n.config)
 	n.grantPending(now, from, sender)
-	return n.renewSet(now, from, sender, beat)
+	return n.renewSet(now, from, sender, hb)
 }
 
-// mayGrant reports whether the leader may grant leases: leases of earlier leaders have expired, and it has had time to hear from
-// every live instance.
+// mayGrant reports whether the leader may grant leases: all leases of earlier leaders have expired, and every live instance has had
+// time to send a heartbeat.
 func (n *Instance) mayGrant(now time.Duration) bool {
 	if now < n.table.blockedUntil {
 		return false
@@ -34,16 +34,16 @@
 	return now >= n.table.gatherUntil || n.allHeardFrom(now)
 }
 
-// renewSet renews the leases of the sender of a heartbeat for as long as the votes of the leader last. The grant lists the leases
-// if the instance does not have the present set.
-func (n *Instance) renewSet(now time.Duration, from string, sender *member, beat heartbeat) []Message {
+// renewSet renews the leases of the sender of a heartbeat until the leadership expires. The grant lists the leases if the sender
+// does not have the present set.
+func (n *Instance) renewSet(now time.Duration, from string, sender *member, hb heartbeat) []Message {
 	duration := n.leaderUntil - now
 	grant := leaseGrant{
 		term:      n.leaderTerm,
-		sequence:  beat.sequence,
+		sequence:  hb.sequence,
 		duration:  duration,
 		setNumber: sender.setNumber,
-		complete:  beat.setNumber != sender.setNumber || beat.setTerm != n.leaderTerm,
+		complete:  hb.setNumber != sender.setNumber || hb.setTerm != n.leaderTerm,
 	}
 	if grant.complete {
 		grant.leases = n.table.set(now, sender)
@@ -52,7 +52,7 @@
 	return n.deliver(now, from, grant.message())
 }
 
-// allHeardFrom reports whether the leader heard from every instance within the duration of a lease.
+// allHeardFrom reports whether the leader has received a message from every instance within the duration of a lease.
 func (n *Instance) allHeardFrom(now time.Duration) bool {
 	for _, name := range n.config.Members {
 		peer := n.table.members[name]
@@ -63,16 +63,16 @@
 	return true
 }
 
-// grantPending adds those pending leases of an instance to its set that are free. The others stay pending.
+// grantPending adds the pending leases of an instance that no other instance holds to its set. The others stay pending.
 func (n *Instance) grantPending(now time.Duration, name string, receiver *member) {
 	stillPending := receiver.pending[:0]
 	for _, duty := range receiver.pending {
 		entry := n.table.leases[duty]
 		if entry == nil || entry.plannedOwner != name {
-			continue // the plan has changed
+			continue // the plan has changed since the job was queued
 		}
 		if entry.inSet && entry.owner == name {
-			continue // the instance has it already
+			continue // the instance already has the lease
 		}
 		heldByOther := entry.owner != name && now < n.table.expires(entry)
 		if heldByOther || n.fencesExhausted() {
@@ -93,8 +93,8 @@
 	return list
 }
 
-// takeBack ends the leases that an instance returned. Returns under an outdated fencing token are ignored.
-func (table *leaseTable) takeBack(now time.Duration, from string, returned []LeaseRecord) {
+// acceptReturns ends the leases that an instance returned. It ignores returns under an outdated fencing token.
+func (table *leaseTable) acceptReturns(now time.Duration, from string, returned []LeaseRecord) {
 	for _, record := range returned {
 		entry := table.leases[record.Duty]
 		if entry == nil || entry.owner != from || entry.fence != record.Fence {
@@ -108,9 +108,10 @@
 	}
 }
 
-// learnRun learns the last run of a job from an instance that has its lease. If fromEarlierLeader is set, an earlier leader
-// granted that lease. Then a job that this leader has granted to no instance is planned for the instance that had it last.
-func (table *leaseTable) learnRun(now time.Duration, from string, record LeaseRecord, fromEarlierLeader bool) {
+// recordRun records the last run of a job as reported by the holder of its lease. If fromEarlierLeader is set, that lease was
+// granted by an earlier leader. A job that this leader has not granted yet is then planned for its last holder, which is the one
+// that reports the highest fencing token.
+func (table *leaseTable) recordRun(now time.Duration, from string, record LeaseRecord, fromEarlierLeader bool) {
 	entry := table.leases[record.Duty]
 	if entry == nil && !fromEarlierLeader {
 		return
@@ -120,7 +121,7 @@
 		table.leases[record.Duty] = entry
 		table.planStale = true
 	}
-	entry.learn(now, record)
+	entry.merge(now, record)
 	if fromEarlierLeader && entry.fence == 0 && record.Fence > entry.previousFence {
 		entry.previousFence, entry.plannedOwner = record.Fence, from
 		table.planStale = true
--- a/internal/lease/message.go
+++ b/internal/lease/message.go
@@ -5,24 +5,25 @@
 // Kind is the kind of a message.
 type Kind uint8
 
-// Kinds of messages. Their numbers are on the wire.
+// Kinds of messages. Their numbers are sent on the wire.
 const (
-	VoteRequest Kind = iota // candidate or leader to all: asks for a vote, or for its renewal
+	VoteRequest Kind = iota // candidate or leader to all: requests a vote, or its renewal
 	Vote                    // response to a VoteRequest: the vote is granted, or the highest known term is reported
-	Heartbeat               // instance to leader: it is alive, which runs it began and which leases it returns
-	LeaseGrant              // response of the leader to a Heartbeat: the leases of that instance are renewed
-	VoteRelease             // candidate or leader to all: the votes for this term are free again
+	Heartbeat               // instance to leader: reports that it is alive, which runs it began and which leases it returns
+	LeaseGrant              // response of the leader to a Heartbeat: renews the leases of that instance
+	VoteRelease             // candidate or leader to all: releases the votes for its term
 )
 
-// Message is a message between two instances in its wire form. Every kind has all fields on the wire, and uses some of them. The
-// typed message of each kind, below, names and explains those that it uses; it converts to a Message with its method message,
-// and a Message converts to it with the method of its name. From and To are not encoded: the transport knows them.
+// Message is a message between two instances in its wire form. All fields are encoded for every kind, but each kind uses only some
+// of them. Each kind has a type below, such as voteRequest, which documents the fields that the kind uses. The method message of
+// that type converts to a Message, and the method of Message with the name of the type converts back. From and To are not encoded,
+// as the transport identifies the sender and the receiver.
 type Message struct {
 	Kind            Kind
 	From, To        string
 	Term            uint64
 	Sequence        uint64 // of a VoteRequest or Heartbeat; the response repeats it
-	Granted         bool   // Vote: the vote is granted. VoteRequest: the sender is the leader
+	Granted         bool   // in a Vote: the vote is granted; in a VoteRequest: the sender is the leader
 	Duration        time.Duration
 	Leaving         bool
 	Leases          []LeaseRecord
@@ -34,22 +35,22 @@
 	InheritedTerm   uint64
 }
 
-// LeaseRecord is one job in a message.
+// LeaseRecord is the lease and the last run of one job in a message.
 type LeaseRecord struct {
 	Duty      string
-	Owner     string        // VoteRelease only
+	Owner     string        // last lease holder; VoteRelease only
 	Fence     uint64        // fencing token, which rises with every change of owner or leader
-	Remaining time.Duration // VoteRelease only: time within which the lease expires
+	Remaining time.Duration // time within which the lease expires; VoteRelease only
 	HasRun    bool          // whether a run of the job is known
 	SinceRun  time.Duration // since the last known run began
 }
 
-// voteRequest asks an instance to vote for the sender. A request for term 0 is never granted: it serves to learn the highest term
-// that the receiver knows.
+// voteRequest requests a vote for the sender. A request for term 0 is never granted: it only queries the highest term that the
+// receiver knows.
 type voteRequest struct {
 	term       uint64
 	sequence   uint64
-	fromLeader bool // the sender is the leader, and asks for a renewal
+	fromLeader bool // the sender is the leader and requests a renewal
 }
 
 func (request voteRequest) message() Message {
@@ -65,7 +66,7 @@
 	term            uint64 // highest term that the voter knows
 	sequence        uint64 // sequence number of the request
 	granted         bool
-	inheritedLeases time.Duration // time for which leases of leaders that left may still last; 0: none do
+	inheritedLeases time.Duration // longest remaining time of the leases of leaders that left; 0: there are none
 	inheritedTerm   uint64        // highest term of those leaders
 }
 
@@ -94,25 +95,25 @@
 type heartbeat struct {
 	term      uint64 // highest term that the instance knows
 	sequence  uint64
-	leaving   bool          // the instance must get no more leases
-	runs      []LeaseRecord // jobs of which the leader does not know the last run; if complete is set, all jobs of the instance
-	complete  bool          // this leader has granted nothing to the instance yet
-	returned  []LeaseRecord // returned leases, which the instance never uses again under these fencing tokens
+	leaving   bool          // the instance accepts no more leases
+	runs      []LeaseRecord // jobs with a last run that the leader has not acknowledged; if complete is set, all jobs of the instance
+	complete  bool          // the present leader has not granted any lease to the instance yet
+	returned  []LeaseRecord // returned leases; the instance never uses them again under these fencing tokens
 	setNumber uint64        // number of the set of leases that the instance has
 	setTerm   uint64        // term of the leader that granted that set
 }
 
-func (beat heartbeat) message() Message {
+func (hb heartbeat) message() Message {
 	return Message{
 		Kind:      Heartbeat,
-		Term:      beat.term,
-		Sequence:  beat.sequence,
-		Leaving:   beat.leaving,
-		Leases:    beat.runs,
-		Complete:  beat.complete,
-		Returned:  beat.returned,
-		SetNumber: beat.setNumber,
-		SetTerm:   beat.setTerm,
+		Term:      hb.term,
+		Sequence:  hb.sequence,
+		Leaving:   hb.leaving,
+		Leases:    hb.runs,
+		Complete:  hb.complete,
+		Returned:  hb.returned,
+		SetNumber: hb.setNumber,
+		SetTerm:   hb.setTerm,
 	}
 }
 
@@ -133,9 +134,9 @@
 type leaseGrant struct {
 	term      uint64
 	sequence  uint64        // sequence number of the heartbeat
-	duration  time.Duration // duration of the leases from when the heartbeat was sent, by the clock of the leader
+	duration  time.Duration // duration of the leases by the clock of the leader, counted from when the heartbeat was sent
 	setNumber uint64        // number of the set of leases that the instance must have
-	complete  bool          // leases lists that set; if false, the instance has it already
+	complete  bool          // leases lists that set; if false, the instance already has it
 	leases    []LeaseRecord
 }
 
@@ -162,20 +163,20 @@
 	}
 }
 
-// voteRelease frees the votes for a term, as the candidate has ended its campaign or the leader leaves.
+// voteRelease releases the votes for a term after the candidate has ended its campaign, or when the leader leaves.
 type voteRelease struct {
-	term       uint64
-	leasesLast time.Duration // time within which all leases of the sender as leader expire; 0: it was not leader
-	successor  bool          // the receiver gets the table, and must campaign at once
-	table      []LeaseRecord // for the successor: all jobs
-	blockedFor time.Duration // for the successor: time for which leases of leaders before the sender may still last
+	term            uint64
+	leasesRemaining time.Duration // time within which all leases that the sender granted as leader expire; 0: it was not the leader
+	successor       bool          // the receiver is the successor: it gets the table and must campaign at once
+	table           []LeaseRecord // for the successor: all jobs
+	blockedFor      time.Duration // for the successor: longest remaining time of the leases of leaders before the sender
 }
 
 func (release voteRelease) message() Message {
 	return Message{
 		Kind:            VoteRelease,
 		Term:            release.term,
-		Duration:        release.leasesLast,
+		Duration:        release.leasesRemaining,
 		Complete:        release.successor,
 		Leases:          release.table,
 		InheritedLeases: release.blockedFor,
@@ -184,10 +185,10 @@
 
 func (message *Message) voteRelease() voteRelease {
 	return voteRelease{
-		term:       message.Term,
-		leasesLast: message.Duration,
-		successor:  message.Complete,
-		table:      message.Leases,
-		blockedFor: message.InheritedLeases,
+		term:            message.Term,
+		leasesRemaining: message.Duration,
+		successor:       message.Complete,
+		table:           message.Leases,
+		blockedFor:      message.InheritedLeases,
 	}
 }
--- a/internal/lease/plan.go
+++ b/internal/lease/plan.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// plan decides which instance should have which lease, if that may have changed. The available instances get equal numbers of
-// jobs. As few jobs as possible move to another instance.
+// plan plans an owner for each job, unless the present plan still applies. The numbers of jobs of the available instances differ by
+// one at most, and as few jobs as possible move to another instance.
 func (table *leaseTable) plan(now time.Duration, config *Config) {
 	available := table.availableMembers(now, config)
 	planCurrent := !table.planStale && slices.Equal(available, table.plannedMembers)
@@ -23,7 +23,7 @@
 	table.queuePlanned(config.Duties)
 }
 
-// availableMembers returns the instances that can have leases, in the order of the configuration.
+// availableMembers returns the instances that may get leases, in the order of the configuration.
 func (table *leaseTable) availableMembers(now time.Duration, config *Config) (names []string) {
 	for _, name := range config.Members {
 		if peer := table.members[name]; peer != nil && peer.available(now, config.Lease) {
@@ -33,8 +33,8 @@
 	return names
 }
 
-// addDuties adds configured jobs that are not in the table, and plans a job without a plan for its present owner. It returns how
-// many jobs are planned for each instance.
+// addDuties adds configured jobs that are missing in the table. A job without a planned owner gets its present owner as planned
+// owner. It returns how many jobs are planned for each instance.
 func (table *leaseTable) addDuties(duties []Duty) (planned map[string]int) {
 	planned = map[string]int{}
 	for _, duty := range duties {
@@ -51,8 +51,8 @@
 	return planned
 }
 
-// dropRemovedDuties removes jobs that are no longer configured from all sets, and from the table once their leases have expired.
-// Their owners return the leases.
+// dropRemovedDuties removes the leases of jobs that are no longer configured from the sets, so that their owners return them. It
+// removes such a job from the table once its lease has expired.
 func (table *leaseTable) dropRemovedDuties(now time.Duration, duties []Duty) {
 	configured := make(map[string]bool, len(duties))
 	for _, duty := range duties {
@@ -87,8 +87,8 @@
 	return quota
 }
 
-// assign plans an owner for each job within the quotas, which it uses up. Jobs over the quota of their owner go to the other
-// instances in turn. They are taken in the order of their hashes, so that jobs with similar names spread over the instances.
+// assign plans an owner for each job within the quotas, which it consumes. Jobs above the quota of their owner are assigned to the
+// other instances in turn, in the order of the hashes of their names, so that jobs with similar names spread over the instances.
 func (table *leaseTable) assign(duties []Duty, available []string, quota map[string]int) {
 	var unassigned []string
 	for _, duty := range duties {
@@ -112,7 +112,7 @@
 	}
 }
 
-// queuePlanned queues each job for its planned owner. A lease of another owner is no longer renewed.
+// queuePlanned queues each job that its planned owner does not have yet. A lease of another owner is no longer renewed.
 func (table *leaseTable) queuePlanned(duties []Duty) {
 	for _, peer := range table.members {
 		peer.pending = nil
--- a/internal/lease/runs.go
+++ b/internal/lease/runs.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// RunOrder asks the caller to begin a run of a job. The run must call MayAct before each of its actions: once that returns false,
-// another instance may run the job.
+// RunOrder is a run of a job that the caller must begin. The run must call MayAct before each of its actions: once that returns
+// false, another instance may run the job.
 type RunOrder struct {
 	Duty     string
 	Run      uint64        // number of the run at this instance, from 1
 	Fence    uint64        // fencing token under which the run begins
-	Deadline time.Duration // when the run must have ended, by the clock of the instance
+	Deadline time.Duration // time by which the run must have ended, by the clock of the instance
 }
 
-// runHistory is what is known of the last run of a job, at any instance.
+// runHistory is the last known run of a job, at whichever instance it ran.
 type runHistory struct {
 	hasRun  bool          // whether a run is known
 	lastRun time.Duration // when the last known run began
 }
 
-// learn updates the history by a record of another instance, and reports whether that has a later run.
-func (history *runHistory) learn(now time.Duration, record LeaseRecord) bool {
+// merge updates the history from the record of another instance, and reports whether the record has a later run.
+func (history *runHistory) merge(now time.Duration, record LeaseRecord) bool {
 	began := now - record.SinceRun
 	isLater := record.HasRun && (!history.hasRun || began > history.lastRun)
 	if isLater {
@@ -27,8 +27,8 @@
 	return isLater
 }
 
-// MayAct reports whether a run may still act: its lease has not expired, its deadline has not passed and no later run has begun.
-// It returns the fencing token to act under.
+// MayAct reports whether a run may still act: its lease has not expired, its deadline has not passed, and it has neither ended nor
+// been followed by a later run. It returns the fencing token that the actions must carry.
 func (n *Instance) MayAct(now time.Duration, duty string, run uint64) (fence uint64, ok bool) {
 	held := n.leases[duty]
 	if held == nil || !held.valid(now) {
@@ -40,7 +40,7 @@
 	return held.fence, true
 }
 
-// DueRuns returns the runs that must begin now, sorted by job. An instance that leaves begins none.
+// DueRuns returns the runs that must begin now, sorted by job. A leaving instance begins none.
 func (n *Instance) DueRuns(now time.Duration) (orders []RunOrder) {
 	if now < n.nextRun || n.leaving {
 		return nil
@@ -62,14 +62,14 @@
 	return orders
 }
 
-// mayBeginRun reports whether a run may begin once it is due: the instance keeps the valid lease of a configured job, and no run is
-// in progress.
+// mayBeginRun reports whether a run may begin once it is due: the job is configured, its lease is valid and not being returned, and
+// no run is in progress.
 func (held *heldLease) mayBeginRun(now time.Duration, duty *Duty) bool {
 	return duty != nil && !held.returning && held.valid(now) && !held.running(now)
 }
 
-// beginRun begins a run and schedules the next one. It has a heartbeat sent at once, so that an instance that gets the lease if
-// this one fails does not repeat the run.
+// beginRun begins a run and schedules the next one. It makes a heartbeat due at once, which reports the run. So if this instance
+// fails, the next lease holder does not repeat the run.
 func (n *Instance) beginRun(now time.Duration, held *heldLease, duty *Duty) RunOrder {
 	n.runCount++
 	held.hasRun, held.lastRun, held.runUnreported = true, now, true
@@ -79,25 +79,25 @@
 	return RunOrder{Duty: held.duty, Run: n.runCount, Fence: held.fence, Deadline: held.activeRunEnds}
 }
 
-// RunEnded tells the instance that a run has ended, by itself or at its deadline.
+// RunEnded records that a run has ended, by itself or at its deadline.
 func (n *Instance) RunEnded(duty string, run uint64) {
 	if held := n.leases[duty]; held != nil && held.activeRun == run {
 		held.activeRun, n.nextRun = 0, 0
 	}
 }
 
-// schedule decides when the next run of a job is due.
+// schedule sets the time at which the next run of a job is due.
 func (n *Instance) schedule(now time.Duration, held *heldLease, duty *Duty) {
 	switch {
 	case held.hasRun:
 		held.nextRun = held.lastRun + duty.Period + n.randomPart(duty.Jitter)
 	case duty.CatchUp:
 		held.nextRun = now
-	default: // the first run begins a period from now, as if a run had begun now
+	default: // the first run is due one period from now, as if a run had begun now
 		held.hasRun, held.lastRun, held.runUnreported = true, now, true
 		held.nextRun = now + duty.Period
 	}
-	if !duty.CatchUp && held.nextRun < now { // missed runs are skipped, in whole periods
+	if !duty.CatchUp && held.nextRun < now { // missed runs are skipped: the due time advances by whole periods
 		held.nextRun = now + duty.Period - (now-held.nextRun)%duty.Period
 	}
 }
--- a/internal/lease/simulation_test.go
+++ b/internal/lease/simulation_test.go
@@ -11,12 +11,12 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 400, "number of random schedules of loss, partitions, pauses, kills and leaving instances")
-	faults    = flag.Int("faults", 2, "faults in one schedule of a small installation, of which all schedules are run")
+	schedules = flag.Int("schedules", 400, "number of random schedules of loss, partitions, pauses, kills and graceful restarts")
+	faults    = flag.Int("faults", 2, "maximum number of faults in a schedule of a small installation, for which all schedules are run")
 )
 
-// simulation is an installation whose instances have clocks of their own, on a network that delays, loses and duplicates
-// messages and is partitioned. It checks after each step that no job has two lease holders and that fencing tokens rise.
+// simulation is an installation whose instances have their own clocks, on a network that delays, loses and duplicates messages and
+// may be partitioned. After each step it checks that no job has two lease holders and that fencing tokens rise.
 type simulation struct {
 	random        *rand.Rand
 	realTime      time.Duration
@@ -29,9 +29,9 @@
 
 	// Network.
 	inTransit []delivery
-	partition map[string]int // by instance: its side of a partition
-	oneWay    [2]string      // messages from the first to the second are lost
-	separated [2]string      // messages between these two are lost
+	partition map[string]int // by instance: its side of the partition
+	oneWay    [2]string      // messages from the first to the second instance are lost
+	separated [2]string      // messages between these two instances are lost in both directions
 	loss      float64        // probability that a message is lost
 
 	// Observations.
@@ -39,10 +39,11 @@
 	lastFence       map[string]uint64        // by job
 	lastRun         map[string]time.Duration // by job: real time
 	violations      []string                 // descriptions of violated rules
-	messages, bytes int                      // sent
-	record          io.Writer                // gets every message that is sent; nil: none
+	messages, bytes int                      // numbers of messages and bytes sent
+	record          io.Writer                // receives the bytes of every message sent; nil: none
 
-	// If clocksStepped is set, the wall clock of an instance is stepped before each start. The others count the starts by step.
+	// If clocksStepped is set, the wall clock of an instance may be stepped before each start. The other fields count the starts
+	// with a clock ahead, behind and at the same millisecond as at the start before.
 	clocksStepped                         bool
 	startsAhead, startsBehind, startsSame int
 
@@ -60,8 +61,8 @@
 	startedAt      time.Duration // real time
 	pausedUntil    time.Duration // real time
 	deadUntil      time.Duration // real time
-	restarts       bool          // it starts again at deadUntil
-	initialized    bool          // simulation.atStart was called
+	restarts       bool          // a new incarnation starts at deadUntil
+	initialized    bool          // simulation.atStart has been called
 	startUnixMilli uint64        // wall clock at its start
 }
 
@@ -73,16 +74,16 @@
 
 const (
 	stepLength         = 20 * time.Millisecond
-	longestDelay       = 150 // milliseconds that a message takes at most
+	longestDelay       = 150 // milliseconds; upper bound of the time that a message takes
 	simulatedLease     = 1200 * time.Millisecond
 	simulatedHeartbeat = 250 * time.Millisecond
-	longestQuietPeriod = 2100 * time.Millisecond // real time of the quiet period by the slowest clock
+	longestQuietPeriod = 2100 * time.Millisecond // real time that the quiet period takes with the slowest clock
 	scheduleSteps      = 600                     // steps with faults in one schedule
 )
 
 // simulationConfig describes a simulated installation.
 type simulationConfig struct {
-	seed         uint64 // determines everything random
+	seed         uint64 // of all random decisions
 	instances    int
 	duties       int
 	clockDrift   float64 // actual drift of the clocks
@@ -124,7 +125,7 @@
 	return sim
 }
 
-// newCalmSimulation returns an installation with small drift and with jobs of usual periods.
+// newCalmSimulation returns an installation with small drift and with jobs of realistic periods.
 func newCalmSimulation(instances, duties int) *simulation {
 	sim := newSimulation(simulationConfig{seed: 3, instances: instances, duties: duties, clockDrift: 0.01, assumedDrift: 0.02})
 	for i := range sim.duties {
@@ -147,7 +148,7 @@
 	before := sim.instances[name]
 	sim.instances[name] = node
 	late := sim.random.IntN(500)
-	if sim.faultInterval%2 == 0 { // some start in the same millisecond
+	if sim.faultInterval%2 == 0 { // so that some instances start in the same millisecond
 		late %= 2
 	}
 	node.startUnixMilli = 1e6 + uint64(sim.realTime.Milliseconds()) + uint64(late)
@@ -166,11 +167,11 @@
 	}, node.clock(sim.realTime))
 }
 
-// stepWallClock returns the wall clock at a start, in milliseconds: correct, an hour behind or ahead, or the same as at the
-// start of the incarnation before, which may be nil.
+// stepWallClock returns the wall clock at a start, in milliseconds: correct, an hour behind or ahead, or the same as at the start
+// of the previous incarnation, if there is one.
 func (sim *simulation) stepWallClock(correct uint64, before *simulatedInstance) uint64 {
 	hour := uint64(time.Hour.Milliseconds())
-	correct += 10 * hour // so that an hour behind is not below 0
+	correct += 10 * hour // so that a clock an hour behind is not below 0
 	switch sim.random.IntN(4) {
 	case 0:
 		sim.startsBehind++
@@ -192,7 +193,7 @@
 	return node.clockOffset + time.Duration(float64(realTime)*node.clockRate)
 }
 
-// step lets one step of real time pass and checks the rules.
+// step advances real time by one step and checks the rules.
 func (sim *simulation) step() {
 	sim.realTime += stepLength
 	sim.deliver()
@@ -204,7 +205,7 @@
 	sim.check()
 }
 
-// deliver puts messages that have arrived into inboxes. Those to dead instances are lost.
+// deliver moves messages that have arrived into the inboxes. Messages to dead instances are lost.
 func (sim *simulation) deliver() {
 	var later []delivery
 	for _, each := range sim.inTransit {
@@ -219,7 +220,7 @@
 	sim.inTransit = later
 }
 
-// stepInstance has an instance handle its messages and do what is due.
+// stepInstance lets an instance handle its messages and perform the actions that are due.
 func (sim *simulation) stepInstance(name string) {
 	if sim.instances[name].restarts {
 		sim.start(name)
@@ -236,7 +237,7 @@
 	node.inbox = nil
 	sim.send(node.instance.Tick(now))
 	sim.run(node, now)
-	if node.instance.HasLeft(now) { // it starts again after a while
+	if node.instance.HasLeft(now) { // it restarts after a random time
 		sim.start(name)
 		sim.instances[name].deadUntil = sim.realTime + sim.randomMilliseconds(2000)
 	}
@@ -245,7 +246,7 @@
 	}
 }
 
-// run begins runs that are due. It ends runs that may not act any more, and others at random.
+// run begins runs that are due. It ends runs that may no longer act, and others at random.
 func (sim *simulation) run(node *simulatedInstance, now time.Duration) {
 	for _, order := range node.instance.DueRuns(now) {
 		sim.lastRun[order.Duty] = sim.realTime
@@ -261,7 +262,7 @@
 	})
 }
 
-// send puts messages on the network, encoded and decoded. One in ten is duplicated.
+// send sends messages over the network, after encoding and decoding them. One in ten is duplicated.
 func (sim *simulation) send(list []Message) {
 	for _, message := range list {
 		raw := Append(nil, &message)
@@ -284,18 +285,19 @@
 	}
 }
 
-// connected reports whether messages from one instance reach another.
+// connected reports whether messages from one instance can reach another.
 func (sim *simulation) connected(from, to string) bool {
 	return sim.partition[from] == sim.partition[to] && sim.oneWay != [2]string{from, to} &&
 		sim.separated != [2]string{from, to} && sim.separated != [2]string{to, from}
 }
 
-// randomMilliseconds returns a random time below a number of milliseconds.
+// randomMilliseconds returns a random time below the given number of milliseconds.
 func (sim *simulation) randomMilliseconds(below int) time.Duration {
 	return time.Duration(sim.random.IntN(below)) * time.Millisecond
 }
 
-// check records violations of the rules: a job with two lease holders, or a new owner without a higher fencing token.
+// check records violations of the rules: a job with two lease holders, a fencing token that is lower than before, or a new owner
+// without a higher token.
 func (sim *simulation) check() {
 	for _, duty := range sim.duties {
 		holder := ""
@@ -313,24 +315,25 @@
 			}
 			holder = name
 			if before := sim.lastFence[duty.Name]; fence < before || fence == before && sim.lastOwner[duty.Name] != name {
-				sim.violations = append(sim.violations, fmt.Sprintf("%v: %s went to %s under %d after %d", sim.realTime, duty.Name, name, fence, before))
+				sim.violations = append(sim.violations, fmt.Sprintf("%v: %s went to %s under token %d after token %d",
+					sim.realTime, duty.Name, name, fence, before))
 			}
 			sim.lastOwner[duty.Name], sim.lastFence[duty.Name] = name, fence
 		}
 	}
 }
 
-// stepTimes lets a number of steps pass without new faults.
+// stepTimes simulates a number of steps without new faults.
 func (sim *simulation) stepTimes(steps int) {
 	for range steps {
 		sim.step()
 	}
 }
 
-// stepFor lets real time pass without new faults.
+// stepFor simulates a period of real time without new faults.
 func (sim *simulation) stepFor(length time.Duration) { sim.stepTimes(int(length / stepLength)) }
 
-// stepWithFaults lets a number of steps pass with random faults.
+// stepWithFaults simulates a number of steps with random faults.
 func (sim *simulation) stepWithFaults(steps int) {
 	for range steps {
 		if sim.random.IntN(sim.faultInterval) == 0 {
@@ -383,7 +386,8 @@
 	}
 }
 
-// settled reports whether every instance has been up for long enough to have learnt the highest term from the others.
+// settled reports whether every instance has been up for longer than its quiet period, in which it requests the highest term from
+// the others.
 func (sim *simulation) settled() bool {
 	for _, name := range sim.names {
 		if node := sim.instances[name]; sim.realTime < max(node.startedAt, node.deadUntil)+longestQuietPeriod {
@@ -402,7 +406,8 @@
 	}
 }
 
-// settleThenStep waits until all instances are settled. Then it lets a number of steps pass with wall clocks stepped at each start.
+// settleThenStep waits until all instances are settled. Then it simulates a number of steps in which instances restart with stepped
+// wall clocks.
 func (sim *simulation) settleThenStep(steps int) {
 	for !sim.settled() {
 		sim.step()
@@ -415,9 +420,10 @@
 	}
 }
 
-// injectFaultWithSteppedClock injects a fault that the package must tolerate while wall clocks are stepped. Nothing is stored over
-// a restart, so fencing tokens rise for certain only if an instance that starts reaches each of the others in its quiet period.
-// Therefore one instance restarts at a time, and is partitioned off or paused only later. Two others may be separated meanwhile.
+// injectFaultWithSteppedClock injects a fault that the package must tolerate while wall clocks are stepped. Nothing is stored across
+// a restart, so fencing tokens are certain to rise only if an instance that starts reaches each of the others in its quiet period.
+// Therefore only one instance restarts at a time, and no instance is isolated or paused until all are settled. Two other instances
+// may be separated from each other during the restart.
 func (sim *simulation) injectFaultWithSteppedClock() {
 	if !sim.settled() {
 		return
@@ -425,7 +431,7 @@
 	order := sim.random.Perm(len(sim.names))
 	name, second, third := sim.names[order[0]], sim.names[order[1]], sim.names[order[2]]
 	switch sim.random.IntN(4) {
-	case 0, 1: // restarted, at once or later
+	case 0, 1: // restarted at once or later
 		sim.reconnect()
 		node := sim.instances[name]
 		node.restarts = true
@@ -433,7 +439,7 @@
 		if sim.random.IntN(2) == 0 {
 			sim.separated = [2]string{second, third}
 		}
-	case 2: // partitioned off alone; if two instances are separated, the first of them
+	case 2: // isolated; if two instances are separated, the first of them is isolated
 		if sim.separated[0] != "" {
 			name = sim.separated[0]
 		}
@@ -445,8 +451,8 @@
 	}
 }
 
-// waitFor lets real time pass until a condition holds, and returns how long that took. It fails the test if that takes longer than
-// limit, or if a rule is violated.
+// waitFor simulates steps until a condition holds, and returns how long that took in real time of the simulation. It fails the test
+// if that takes longer than limit, or if a rule is violated.
 func (sim *simulation) waitFor(t *testing.T, limit time.Duration, condition string, holds func() bool) time.Duration {
 	t.Helper()
 	began := sim.realTime
@@ -486,11 +492,11 @@
 	return owners
 }
 
-// shares lets one second pass and returns how many leases each instance had, summed over its steps. With clocks far apart a
-// lease may expire for a moment before it is renewed.
+// shares simulates one second and returns how many leases each instance had, summed over the steps. A single step would not do, as
+// with clocks far apart a lease may expire for a moment before it is renewed.
 func (sim *simulation) shares() map[string]int {
 	shares := map[string]int{}
-	for range time.Second / stepLength { // one second
+	for range time.Second / stepLength {
 		for _, owner := range sim.owners() {
 			shares[owner]++
 		}
@@ -499,7 +505,7 @@
 	return shares
 }
 
-// leader returns the present leader; nil: none.
+// leader returns the present leader, or nil if there is none.
 func (sim *simulation) leader() *simulatedInstance {
 	for _, name := range sim.names {
 		if node := sim.instances[name]; node.deadUntil <= sim.realTime && node.instance.IsLeader(node.clock(sim.realTime)) {
@@ -509,19 +515,19 @@
 	return nil
 }
 
-// spread returns the difference between the largest and the smallest number of leases of an instance. If fewer than instances have
-// any, the smallest number is 0.
+// spread returns the difference between the largest and the smallest number of leases of an instance. The smallest number is 0 if
+// fewer than the given number of instances have any.
 func (sim *simulation) spread(instances int) int {
 	shares := map[string]int{}
 	for _, owner := range sim.owners() {
 		shares[owner]++
 	}
-	least, most := len(sim.duties), 0
+	smallest, largest := len(sim.duties), 0
 	for _, share := range shares {
-		least, most = min(least, share), max(most, share)
+		smallest, largest = min(smallest, share), max(largest, share)
 	}
 	if len(shares) < instances {
-		return most
+		return largest
 	}
-	return most - least
+	return largest - smallest
 }
--- a/internal/lease/status.go
+++ b/internal/lease/status.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Values of Status.Role. These values and all JSON keys below are part of the JSON output, which must not change. That is why some
-// of them differ from the terms of this package.
+// Values of Status.Role. These values and all JSON keys below are part of the JSON output and must not change, so some of them
+// differ from the terms of this package.
 const (
 	RoleStarting  = "joining"  // in its quiet period
 	RoleFollower  = "member"   // neither leader nor candidate
@@ -17,14 +17,14 @@
 	RoleLeft      = "gone"    // has left
 )
 
-// Status is what one instance knows. All durations start or end at the time of the call.
+// Status is the state of one instance. All durations are relative to the time of the call.
 type Status struct {
 	Instance  string        `json:"instance"`
 	Role      string        `json:"role"`    // one of the Role constants
-	Leader    string        `json:"keeper"`  // instance that this one voted for last; empty: none yet
+	Leader    string        `json:"keeper"`  // instance that got the last vote of this one; empty: none yet
 	Term      uint64        `json:"term"`    // highest known term
-	LeaderFor time.Duration `json:"kept_ns"` // until the leadership of this instance expires if it is not renewed
-	QuietFor  time.Duration `json:"mute_ns"` // until the quiet period of this instance ends
+	LeaderFor time.Duration `json:"kept_ns"` // time until the leadership of this instance expires unless it is renewed
+	QuietFor  time.Duration `json:"mute_ns"` // time until the quiet period of this instance ends
 	Counts    Counts        `json:"counts"`
 	Owned     []OwnedStatus `json:"own"`
 	Table     []TableStatus `json:"table"` // empty unless this instance is the leader
@@ -32,26 +32,26 @@
 
 // Counts counts events since the start of an instance.
 type Counts struct {
-	BecameLeader   int `json:"kept"`     // times that the instance became the leader
-	LostLeadership int `json:"lapsed"`   // times that its leadership expired
-	RejectedGrants int `json:"refused"`  // grants that came too late, or that were of an outdated set
+	BecameLeader   int `json:"kept"`     // number of times that the instance became the leader
+	LostLeadership int `json:"lapsed"`   // number of times that its leadership expired
+	RejectedGrants int `json:"refused"`  // grants that arrived too late or were for an outdated set
 	Acquired       int `json:"taken"`    // leases that the instance got
 	Expired        int `json:"lost"`     // leases that expired at the instance
 	Returned       int `json:"returned"` // leases that the instance returned
 }
 
-// OwnedStatus is a job of which the instance has the lease.
+// OwnedStatus is the status of a job of which the instance has the lease.
 type OwnedStatus struct {
 	Duty         string        `json:"duty"`
 	Fence        uint64        `json:"fence"`
 	LeaseLeft    time.Duration `json:"lease_ns"`
 	HasRun       bool          `json:"ran"`
-	SinceRun     time.Duration `json:"age_ns"` // since the last run began
+	SinceRun     time.Duration `json:"age_ns"` // time since the last run began
 	Running      bool          `json:"running"`
-	UntilNextRun time.Duration `json:"next_ns"` // negative: the run is overdue
+	UntilNextRun time.Duration `json:"next_ns"` // negative if the run is overdue
 }
 
-// TableStatus is a job as the leader knows it. Owner is empty if no instance has its lease.
+// TableStatus is the status of a job in the table of the leader. Owner is empty if no instance has the lease.
 type TableStatus struct {
 	Duty         string        `json:"duty"`
 	Owner        string        `json:"owner"`
@@ -62,7 +62,7 @@
 	SinceRun     time.Duration `json:"age_ns"`
 }
 
-// Status returns what the instance knows now.
+// Status returns the present state of the instance.
 func (n *Instance) Status(now time.Duration) Status {
 	return Status{
 		Instance:  n.config.Name,
@@ -138,6 +138,6 @@
 	return list
 }
 
-// PlanCounts returns, for the present table of this instance as leader, how many plans it made and how many leases it granted to
-// another instance than before.
+// PlanCounts returns two counts for the present table of this instance as leader: the plans made, and the leases granted to a
+// different instance than before.
 func (n *Instance) PlanCounts() (plans, moved int) { return n.table.planCount, n.table.movedCount }
--- a/internal/lease/table.go
+++ b/internal/lease/table.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// leaseTable is what a leader knows: which instance has which lease, and for which instance it is planned. The leases of one
-// instance form a set. They are renewed together, so that the cost of a renewal does not grow with the set.
+// leaseTable is the state of a leader: it records which instance has each lease and for which instance it is planned. The leases of
+// one instance form a set. They are renewed together, so that the cost of a renewal does not grow with the size of the set.
 type leaseTable struct {
 	term           uint64                 // term of the leader that handed the table over; 0: this instance made it
-	blockedUntil   time.Duration          // no lease is granted before, as leases of earlier leaders may last until then
-	gatherUntil    time.Duration          // before that, leases are granted only if the leader heard from all instances
-	planStale      bool                   // the plan must be made anew
-	plannedMembers []string               // instances that the last plan was made for
+	blockedUntil   time.Duration          // no lease is granted before this time, as leases of earlier leaders may last until then
+	gatherUntil    time.Duration          // before this time, leases are granted only if the leader has received messages from all instances
+	planStale      bool                   // the plan must be recomputed
+	plannedMembers []string               // available instances at the time of the last plan
 	leases         map[string]*tableLease // by job
 	members        map[string]*member     // by instance
 	lastSetNumber  uint64
-	movedCount     int // leases that were granted to another instance than before
-	planCount      int // plans that were made
+	movedCount     int // leases granted to a different instance than before
+	planCount      int // plans made
 }
 
-// tableLease is one job in the table.
+// tableLease is the lease of one job in the table.
 type tableLease struct {
 	runHistory
 
-	owner         string // instance that got the lease last; empty: none, or it returned the lease
+	owner         string // last instance that got the lease; empty: none, or it returned the lease
 	plannedOwner  string // instance that should have the lease; empty: not planned
 	fence         uint64
 	inSet         bool          // the lease is in the set of its owner, and expires with that set
@@ -34,12 +34,12 @@
 
 // member is one instance in the table.
 type member struct {
-	lastHeard  time.Duration // when its last heartbeat or vote came
+	lastHeard  time.Duration // when its last heartbeat or vote arrived
 	leaving    bool
-	setNumber  uint64 // a new number for every change of the set
-	setExpires time.Duration
+	setNumber  uint64          // number of its set, which gets a new number with every change
+	setExpires time.Duration   // when its set expires
 	duties     map[string]bool // its set: the jobs of which it has the lease
-	pending    []string        // jobs that are planned for it and not in its set yet
+	pending    []string        // jobs that are planned for it but not in its set yet
 }
 
 // newLeaseTable returns an empty table from which no lease is granted before blockedUntil.
@@ -47,7 +47,7 @@
 	return &leaseTable{blockedUntil: blockedUntil, planStale: true, leases: map[string]*tableLease{}, members: map[string]*member{}}
 }
 
-// member returns an instance of the table, and adds it if it is missing.
+// member returns the entry of an instance, and adds one if it is missing.
 func (table *leaseTable) member(name string) *member {
 	found := table.members[name]
 	if found == nil {
@@ -58,7 +58,7 @@
 	return found
 }
 
-// renumberSet gives the set of an instance a new number. No set in this table, or in an earlier table of this leader, had it.
+// renumberSet gives the set of an instance a new number, which no set in this table or in an earlier table of this instance had.
 func (table *leaseTable) renumberSet(owner *member) {
 	table.lastSetNumber++
 	owner.setNumber = table.lastSetNumber
@@ -84,8 +84,8 @@
 	table.renumberSet(owner)
 }
 
-// removeFromSet takes a lease out of the set of its owner. The lease is not renewed any more, and expires when the last renewal
-// of the set does.
+// removeFromSet removes a lease from the set of its owner. The lease is no longer renewed, and expires at the time at which the set
+// expires after its last renewal.
 func (table *leaseTable) removeFromSet(duty string, entry *tableLease) {
 	if !entry.inSet {
 		return
@@ -96,14 +96,14 @@
 	table.renumberSet(owner)
 }
 
-// queue adds a job to those that are pending for the instance.
+// queue adds a job to the pending jobs of the instance, unless it is already pending.
 func (peer *member) queue(duty string) {
 	if !slices.Contains(peer.pending, duty) {
 		peer.pending = append(peer.pending, duty)
 	}
 }
 
-// available reports whether an instance can have leases: it was heard from within the duration of a lease, and is not leaving.
+// available reports whether an instance may get leases: it sent a message within the duration of a lease, and is not leaving.
 func (peer *member) available(now, lease time.Duration) bool {
 	return !peer.leaving && now-peer.lastHeard < lease
 }
--- a/internal/lease/trace_test.go
+++ b/internal/lease/trace_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-// recordedDecisions is the hash of all decisions in TestDecisionsAsRecorded, as recorded before the code was reorganized.
+// recordedDecisions is the hash of all decisions in TestDecisionsMatchRecordedHash, recorded before the package was restructured.
 const recordedDecisions = 0x85637f6d0d5d8d94
 
-// TestDecisionsAsRecorded compares the decisions in simulated installations of one, three and five instances, with faults of all
-// kinds, with those that were recorded: every message byte for byte, every run and every status.
-func TestDecisionsAsRecorded(t *testing.T) {
+// TestDecisionsMatchRecordedHash guards against unintended changes of behavior. It simulates installations of one, three and five
+// instances with faults of all kinds, and compares the hash of every message, run and status with the recorded one.
+func TestDecisionsMatchRecordedHash(t *testing.T) {
 	const minMessages = 50000
 	record := fnv.New64a()
 	messages := 0
