--- a/internal/cluster/clock_test.go
+++ b/internal/cluster/clock_test.go
@@ -7,7 +7,7 @@
 )
 
 // A control machine restarts with its wall clock an hour behind, an hour ahead, set back and at the same millisecond as before.
-// After each restart it gets leases under higher fencing tokens, and its events reach every director in a higher epoch.
+// After each restart it gets leases whose fencing tokens have not fallen, and its events reach every director in a higher epoch.
 func TestControlMachineWithSteppedClock(t *testing.T) {
 	in := startInstallation(t, 3, 2)
 	start := time.Now()
@@ -18,18 +18,18 @@
 		in.startMemberWithClock("c1", func() time.Time { return wallClock })
 		member := in.members["c1"]
 
-		await(t, fmt.Sprintf("start %d: it has a lease", i), func() bool { return len(member.Status().Lease.Owned) > 0 })
-		await(t, fmt.Sprintf("start %d: its epoch is settled", i), func() bool { _, settled := member.epoch(); return settled })
+		await(t, fmt.Sprintf("start %d: c1 has a lease", i), func() bool { return len(member.Status().Lease.Owned) > 0 })
+		await(t, fmt.Sprintf("start %d: the epoch of c1 is settled", i), func() bool { _, settled := member.epoch(); return settled })
 		before := epoch
 		epoch, _ = member.epoch()
 		if epoch <= before {
-			t.Errorf("start %d: got epoch %d, want one above %d", i, epoch, before)
+			t.Errorf("start %d: got epoch %d, want above %d", i, epoch, before)
 		}
 
 		if err := member.publish(keyEvent+"mark", 0, time.Hour, fmt.Append(nil, i)); err != nil {
 			t.Fatal(err)
 		}
-		await(t, fmt.Sprintf("start %d: all directors took an event", i), func() bool { return in.allTookFrom("c1", epoch) })
+		await(t, fmt.Sprintf("start %d: all directors have accepted an event", i), func() bool { return in.allAcceptedFrom("c1", epoch) })
 		in.checkFences(fmt.Sprintf("start %d", i), fences)
 	}
 	await(t, "all follow", in.allFollow)
@@ -42,8 +42,8 @@
 	return m.feed.Epoch(), m.feed.Settled()
 }
 
-// allTookFrom reports whether every director has accepted an event of a control machine's epoch.
-func (in *installation) allTookFrom(name string, epoch uint64) bool {
+// allAcceptedFrom reports whether every director has accepted an event of the named control machine in an epoch.
+func (in *installation) allAcceptedFrom(name string, epoch uint64) bool {
 	for _, follower := range in.followers {
 		if follower.Status().Vector.At(name, epoch) == 0 {
 			return false
@@ -52,8 +52,8 @@
 	return true
 }
 
-// checkFences fails the test if the present lease of a job has a lower fencing token than an earlier one, or if there is no
-// lease. It records the tokens in fences, by job.
+// checkFences fails the test if the present lease of a job has a lower fencing token than an earlier lease, or if there is no
+// lease. It records the highest token of each job in fences.
 func (in *installation) checkFences(when string, fences map[string]uint64) {
 	in.t.Helper()
 	leases := 0
@@ -61,12 +61,12 @@
 		for _, owned := range member.Status().Lease.Owned {
 			leases++
 			if owned.Fence < fences[owned.Duty] {
-				in.t.Errorf("%s: %s has the lease of %s under token %d, after one under %d", when, name, owned.Duty, owned.Fence, fences[owned.Duty])
+				in.t.Errorf("%s: %s has the lease of %s under token %d, want at least %d", when, name, owned.Duty, owned.Fence, fences[owned.Duty])
 			}
 			fences[owned.Duty] = max(fences[owned.Duty], owned.Fence)
 		}
 	}
 	if leases == 0 {
-		in.t.Errorf("%s: no lease", when)
+		in.t.Errorf("%s: got no lease, want at least one", when)
 	}
 }
--- a/internal/cluster/clusterstatus.go
+++ b/internal/cluster/clusterstatus.go
@@ -1,6 +1,6 @@
 package cluster
 
-// Queries for the status of all instances, which the command line makes.
+// Queries for the status of all instances, as used by the command line.
 
 import (
 	"cmp"
@@ -17,7 +17,7 @@
 
 // ClusterStatus is the status of all instances of an installation. The JSON keys must not change.
 type ClusterStatus struct {
-	Leader      string           `json:"keeper"` // name of the instance; empty: none, so no lease is renewed
+	Leader      string           `json:"keeper"` // name of the leader; empty: there is none, so no lease is renewed
 	Instances   []InstanceStatus `json:"instances"`
 	Duties      []DutyStatus     `json:"duties"`
 	Unreachable []string         `json:"unreachable"` // names of the instances that did not respond, sorted
@@ -29,25 +29,25 @@
 	Name string `json:"name"`
 }
 
-// DutyStatus is the status of one periodic job, as its lease holder reports it or, if that cannot be reached, the leader. The JSON
-// keys must not change.
+// DutyStatus is the status of one periodic job as reported by its lease holder, or by the leader if the lease holder cannot be
+// reached. The JSON keys must not change.
 type DutyStatus struct {
 	Duty      string        `json:"duty"`
 	Owner     string        `json:"owner"` // lease holder; empty: none
 	Fence     uint64        `json:"fence"` // fencing token of the lease
 	LeaseLeft time.Duration `json:"lease_ns"`
 	HasRun    bool          `json:"ran"`
-	SinceRun  time.Duration `json:"age_ns"` // since its last run began
+	SinceRun  time.Duration `json:"age_ns"` // time since the last run began
 	Running   bool          `json:"running"`
-	Error     string        `json:"error"` // of its last run; empty: it succeeded, or the lease holder cannot be reached
+	Error     string        `json:"error"` // error of the last run; empty: it succeeded, or the lease holder cannot be reached
 }
 
 // statusTimeout bounds the query to one instance.
 const statusTimeout = time.Second
 
-// QueryCluster queries the instance at an address for its status, then all others that it names. It queries those at the same
-// time, so it takes at most twice statusTimeout. The error is that of the first instance; others that do not respond are listed as
-// unreachable.
+// QueryCluster queries the instance at an address for its status, then all other instances listed in that status. It queries those
+// concurrently, so it takes at most twice statusTimeout. It returns an error only if the first query fails. Other instances that do
+// not respond are listed as unreachable.
 func QueryCluster(addr string) (*ClusterStatus, error) {
 	first, err := QueryInstance(addr)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return cluster, nil
 }
 
-// QueryInstance queries the instance at an address for its status, within statusTimeout. The error is that of peer.Query, or of a
-// response that cannot be decoded as a status.
+// QueryInstance queries the instance at an address for its status, within statusTimeout. It returns an error if peer.Query fails or
+// if the response cannot be decoded.
 func QueryInstance(addr string) (*Status, error) {
 	response, err := peer.Query(addr, topicStatus, nil, statusTimeout)
 	if err != nil {
@@ -88,13 +88,13 @@
 	}
 	status := &Status{}
 	if err := json.Unmarshal(response, status); err != nil {
-		return nil, fmt.Errorf("reading the status of %s: %w", addr, err)
+		return nil, fmt.Errorf("decoding the status of %s: %w", addr, err)
 	}
 	return status, nil
 }
 
-// mergeDuties sets the leader and the statuses of the jobs. A status is the leader's, unless a lease holder reports the job under
-// the same or a newer fencing token.
+// mergeDuties sets the leader and the statuses of the jobs. The status of a job is that of the leader, unless a lease holder reports
+// the job under the same or a newer fencing token.
 func (c *ClusterStatus) mergeDuties() {
 	duties := map[string]DutyStatus{}
 	for i := range c.Instances {
@@ -112,7 +112,7 @@
 	}
 }
 
-// addTable adds the statuses of all jobs as a leader knows them.
+// addTable adds the statuses of all jobs in the table of a leader.
 func (s *InstanceStatus) addTable(duties map[string]DutyStatus) {
 	for _, entry := range s.Lease.Table {
 		duties[entry.Duty] = DutyStatus{
@@ -126,7 +126,7 @@
 	}
 }
 
-// addOwned adds the statuses of the jobs that the instance has the leases of, unless one is known under a newer fencing token.
+// addOwned adds the status of each job that the instance has the lease of, unless duties has one with a newer fencing token.
 func (s *InstanceStatus) addOwned(duties map[string]DutyStatus) {
 	for _, owned := range s.Lease.Owned {
 		known := duties[owned.Duty]
--- a/internal/cluster/feed.go
+++ b/internal/cluster/feed.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	listsInterval  = time.Second // between two broadcasts of the digest of the list of control machines
-	maxDigestBytes = 64          // of a digest that is received; File.MembershipHash has 16
+	listsInterval  = time.Second // interval of the broadcasts of the digest of the list of control machines
+	maxDigestBytes = 64          // maximum size of a received digest; one of File.MembershipHash has 16 bytes
 )
 
-// startFeed makes the change feed of a control machine. It sets the options of the bus for the messages of other control machines
-// and the subscriptions of directors, so it must be called before the bus is opened. The error is that of an invalid
-// configuration.
+// startFeed creates the change feed of a control machine. It sets the options of the bus for the messages of other control machines
+// and the subscriptions of directors, so it must be called before the bus is opened. It returns an error if the configuration is
+// invalid.
 func (m *Member) startFeed(options *peer.Options) error {
 	config := changefeed.Config{
 		Name:        m.name,
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// publish publishes an event to all directors for a lifetime. If several instances publish events under one key in turn, the one
-// with the highest fencing token counts as the newest. This guards against an instance that publishes after another one has taken
-// over its lease.
+// publish publishes an event to all directors, which expires after its lifetime. If several instances publish events under the same
+// key, the event with the highest fencing token counts as the newest. This guards against an instance that still publishes after
+// another one has taken over its lease.
 func (m *Member) publish(key string, fence uint64, lifetime time.Duration, payload []byte) error {
 	m.mu.Lock()
 	messages, err := m.feed.PublishFenced(m.now(), key, fence, lifetime, payload)
@@ -70,7 +70,7 @@
 func (m *Member) handleFeed(from peer.Sender, payload []byte) {
 	message, err := changefeed.ParseMessage(payload)
 	if err != nil {
-		m.unreadableLog.warn(m.log.WithError(err).WithField("peer", from.Name), "a message of the stream that cannot be read")
+		m.decodeErrorLog.warn(m.log.WithError(err).WithField("peer", from.Name), "cannot decode change feed message")
 		return
 	}
 	message.From, message.To = from.Name, m.name
@@ -87,9 +87,9 @@
 	}
 }
 
-// applyEvent applies the health report of an event that is new here. It ignores events of other kinds, and reports that cannot be
+// applyEvent applies the health report in a newly accepted event. It ignores events of other kinds, and reports that cannot be
 // decoded.
-func (l *healthLearner) applyEvent(now time.Duration, event *changefeed.Event) {
+func (l *healthApplier) applyEvent(now time.Duration, event *changefeed.Event) {
 	if !strings.HasPrefix(event.Key, keyHealth) {
 		return
 	}
@@ -98,8 +98,8 @@
 	}
 }
 
-// announceChanges records whether there is a leader and which epoch the feed has, and reports whether one of them has changed since
-// the last call, so that subscribers must be woken. Called with the lock held.
+// announceChanges records whether there is a leader and which epoch the feed has. It reports whether either has changed since the
+// last call, in which case subscribers must be woken. The caller must hold the lock.
 func (m *Member) announceChanges(now time.Duration) bool {
 	hasLeader := m.lease.HasLeader(now)
 	leaderChanged := hasLeader != m.leaderAnnounced
@@ -108,8 +108,8 @@
 	return leaderChanged || epochChanged
 }
 
-// announceEpoch reports whether the feed has settled on an epoch that was not announced yet, and records it as announced. It logs
-// an epoch that is not that of the wall clock at the start. Called with the lock held.
+// announceEpoch reports whether the feed has settled on an epoch that was not announced yet, and records it as announced. It logs a
+// warning if the epoch differs from the wall clock at the start. The caller must hold the lock.
 func (m *Member) announceEpoch() (changed bool) {
 	epoch := m.feed.Epoch()
 	if !m.feed.Settled() || m.announcedEpoch == epoch {
@@ -118,13 +118,13 @@
 	m.announcedEpoch = epoch
 	if epoch != m.startUnixMilli {
 		m.log.WithFields(logrus.Fields{"epoch": epoch, "by_wall_clock": m.startUnixMilli}).
-			Warn("streams: a later life of this control machine is known; the clock went back")
+			Warn("a later epoch of this control machine is known; its wall clock was set back")
 	}
 	return true
 }
 
-// sendLists sends the digest of this machine's list of control machines to the others, once per listsInterval. It guards against
-// operator files that differ: majorities of two different lists need not overlap. Called with the lock held.
+// sendLists broadcasts the digest of this machine's list of control machines, once per listsInterval. This reveals operator files
+// that differ, which are unsafe as majorities of two different lists need not overlap. The caller must hold the lock.
 func (m *Member) sendLists() {
 	if time.Since(m.listsSent) < listsInterval {
 		return
@@ -133,8 +133,8 @@
 	m.bus.Broadcast(topicLists, msgpack.AppendText(nil, m.file.MembershipHash()))
 }
 
-// handleLists handles the digest of another control machine's list. It logs when that list starts or stops to differ from this
-// machine's. It ignores a message that cannot be decoded.
+// handleLists handles the digest of another control machine's list. It logs when that list begins or ceases to differ from this
+// machine's list. It ignores a message that cannot be decoded.
 func (m *Member) handleLists(from peer.Sender, payload []byte) {
 	values := msgpack.NewValues(payload)
 	digest := values.Text(maxDigestBytes)
@@ -143,12 +143,12 @@
 	}
 	differs, changed := m.recordList(from.Name, digest)
 	if changed {
-		m.log.WithFields(logrus.Fields{"peer": from.Name, "differs": differs}).Warn("the list of control machines there")
+		m.log.WithFields(logrus.Fields{"peer": from.Name, "differs": differs}).Warn("comparison of control machine lists changed")
 	}
 }
 
-// recordList records whether the list of another control machine differs from this machine's. It returns that, and whether it has
-// changed.
+// recordList records whether the list of another control machine differs from this machine's list. It returns whether they differ,
+// and whether that has changed since the last call for that machine.
 func (m *Member) recordList(name, digest string) (differs, changed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/cluster/feed_test.go
+++ b/internal/cluster/feed_test.go
@@ -15,25 +15,27 @@
 	"indigochute.example/indigochute/internal/peer"
 )
 
-// Directors are notified when no majority of the control machines is left, and when there is one again. They keep their links.
-func TestDirectorsLearnOfLostMajority(t *testing.T) {
+// Directors are notified when the control machines lose their majority and when they regain it. Meanwhile the directors keep their
+// links.
+func TestDirectorsAreNotifiedOfLostMajority(t *testing.T) {
 	in := startInstallation(t, 3, 4)
 	in.members["c0"].Close()
 	in.members["c1"].Close()
 	for _, follower := range in.followers {
-		await(t, "notified of no majority", func() bool {
+		await(t, "notification that there is no majority", func() bool {
 			status := follower.Status()
 			return status.LeaderlessFor > 0 && status.Uplinks.UnlinkedFor == 0
 		})
 	}
 	if status := in.members["c2"].Status(); status.LeaderlessFor == 0 {
-		t.Error("the control machine that is left knows of a leader with a majority")
+		t.Error("the remaining control machine reports a leader with a majority")
 	}
 	in.startMember("c0")
 	await(t, "a majority again", in.allFollow)
 }
 
-// Control machines with different lists do not accept each other's lease messages, and both report the difference.
+// Control machines whose operator files list different control machines do not accept each other's lease messages, and both report
+// the difference. Otherwise two of five could become a majority together with a list of three.
 func TestDifferentListsAreReported(t *testing.T) {
 	in := startInstallation(t, 3, 2)
 	in.members["c2"].Close()
@@ -44,21 +46,21 @@
 
 	in.startMember("c2")
 	in.startMember("c3")
-	await(t, "c0 names c2", func() bool { return slices.Contains(in.members["c0"].Status().Lists, "c2") })
-	await(t, "c2 names c0", func() bool { return slices.Contains(in.members["c2"].Status().Lists, "c0") })
+	await(t, "c0 reports that the list of c2 differs", func() bool { return slices.Contains(in.members["c0"].Status().Lists, "c2") })
+	await(t, "c2 reports that the list of c0 differs", func() bool { return slices.Contains(in.members["c2"].Status().Lists, "c0") })
 	if status := in.members["c2"].Status(); status.LeaderlessFor == 0 || status.Lease.Role == lease.RoleLeader {
-		t.Errorf("two control machines of five have a leader: %+v", status.Lease)
+		t.Errorf("two of five control machines have a leader: %+v", status.Lease)
 	}
 
 	in.members["c2"].Close()
 	in.members["c3"].Close()
 	in.file = listOfThree
 	in.startMember("c2")
-	await(t, "c0 names no machine", func() bool { return len(in.members["c0"].Status().Lists) == 0 })
+	await(t, "c0 reports no difference", func() bool { return len(in.members["c0"].Status().Lists) == 0 })
 }
 
-// Messages that cannot be decoded have no effect, neither at a control machine nor at a director.
-func TestInvalidMessagesAreIgnored(t *testing.T) {
+// Messages that cannot be decoded have no effect, whether a control machine or a director receives them.
+func TestUndecodableMessagesAreIgnored(t *testing.T) {
 	in := startInstallation(t, 3, 2)
 	member, follower := in.members["c0"], in.followers["d0"]
 	subscriber := &peer.Subscriber{Name: "d0"}
@@ -66,7 +68,7 @@
 	member.Receive(subscriber, topicSubscribe, []byte{0xc1})
 	member.Receive(subscriber, "other", nil)
 	if subscriber.State != nil {
-		t.Error("a message that cannot be decoded subscribed the director")
+		t.Error("a message that cannot be decoded, or with another topic, subscribed the director")
 	}
 
 	member.handleFeed(peer.Sender{Name: "c1"}, []byte{0x91, 0xff})
@@ -74,19 +76,19 @@
 	follower.handleMessage(topicEvents, []byte{0x99})
 	follower.handleMessage(topicLeader, binary.BigEndian.AppendUint64(nil, 1))
 	if !in.allFollow() {
-		t.Error("a director does not follow any more")
+		t.Error("a director no longer follows the control machines")
 	}
 	if lists := member.Status().Lists; len(lists) > 0 {
 		t.Errorf("the lists of %v are reported as different", lists)
 	}
 }
 
-// Another instance that sends messages that cannot be decoded, however many, causes one log line a second at most.
+// Another instance can cause at most one log line a second, however many messages that cannot be decoded it sends.
 func TestUndecodableMessagesDoNotFloodTheLog(t *testing.T) {
 	const messages = 100
 	invalid := []byte{0xc1}
 	for name, handle := range map[string]func(member *Member, from peer.Sender){
-		"lease":         func(member *Member, from peer.Sender) { member.handleLease(from, invalid) },
+		"lease message": func(member *Member, from peer.Sender) { member.handleLease(from, invalid) },
 		"health report": func(member *Member, from peer.Sender) { member.handleHealthReport(from, invalid) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -98,28 +100,28 @@
 			for range messages {
 				handle(member, peer.Sender{Name: "c1"})
 			}
-			most := 1 + int(time.Since(began)/time.Second)
-			if lines := strings.Count(written.String(), "a message that cannot be read"); lines < 1 || lines > most {
-				t.Errorf("got %d log lines for %d messages, want 1 to %d", lines, messages, most)
+			maxLines := 1 + int(time.Since(began)/time.Second)
+			if lines := strings.Count(written.String(), `msg="cannot decode `); lines < 1 || lines > maxLines {
+				t.Errorf("got %d log lines for %d messages, want 1 to %d", lines, messages, maxLines)
 			}
 		})
 	}
 }
 
-// After an hour without a link a director gets the events that it missed, complete and in order, at its rate and no faster. The
-// events are the purges of an hour and the last configuration, in the numbers of the capacity plan (docs/CAPACITY.md). The rate
-// is the largest that the file allows.
-func TestCatchUp(t *testing.T) {
+// After an hour without a link a director gets all events that it missed, in order, and no faster than the configured rate. The
+// events are the purges of an hour and the last configuration, with the numbers of the capacity plan (docs/CAPACITY.md). The rate
+// is the highest that the operator file allows.
+func TestDirectorCatchesUpAfterLostLink(t *testing.T) {
 	const (
 		purges             = 15480
 		purgeBytes         = 60
-		configurations     = 58 // under one key, so that the last one is left
+		configurations     = 58 // under one key, so that only the last one is kept
 		events             = purges + 1
 		configurationBytes = 20000
 		rate               = 1e6 // bytes a second
-		mostBytes          = 2.2e6
-		timeMargin         = 1 // seconds; the transfer may take so much longer than at the rate
-		earlyMargin        = 0.1
+		maxReceivedBytes   = 2.2e6
+		timeMargin         = 1   // seconds by which the transfer may take longer than at the rate
+		earlyMargin        = 0.1 // seconds by which the transfer may take less than at the rate after the burst
 	)
 	in := newInstallation(t, operatorFile(t, 3, 1, "uplink: {spread: 100ms, rate: 1MB/s}\n"))
 	for i := range 3 {
@@ -137,7 +139,7 @@
 		}
 	}
 	for name, member := range in.members {
-		await(t, name+" has all", func() bool { return member.Status().Feed.Counts.Entries == events })
+		await(t, name+" has all events", func() bool { return member.Status().Feed.Counts.Entries == events })
 	}
 
 	in.startFollower("d0")
@@ -147,20 +149,20 @@
 	await(t, "caught up", func() bool { return follower.Status().Feed.Accepted == events })
 	took, status := time.Since(began), follower.Status()
 	received := float64(status.Uplinks.Received)
-	t.Logf("%.0f bytes, %.1f a purge with its frame, in %v", received, (received-configurationBytes)/purges, took)
+	t.Logf("%.0f bytes in all, %.1f bytes for each purge with its frame, in %v", received, (received-configurationBytes)/purges, took)
 
-	if received > mostBytes {
-		t.Errorf("got %.0f bytes, want at most %.0f", received, mostBytes)
+	if received > maxReceivedBytes {
+		t.Errorf("got %.0f bytes, want at most %.0f", received, maxReceivedBytes)
 	}
 	const burst = rate // bytes: one second at the rate
-	least, most := (received-burst)/rate-earlyMargin, received/rate+timeMargin
-	if seconds := took.Seconds(); seconds < least || seconds > most {
-		t.Errorf("%.0f bytes took %.2f s, want %.2f to %.2f s", received, seconds, least, most)
+	minSeconds, maxSeconds := (received-burst)/rate-earlyMargin, received/rate+timeMargin
+	if seconds := took.Seconds(); seconds < minSeconds || seconds > maxSeconds {
+		t.Errorf("%.0f bytes took %.2f s, want %.2f to %.2f s", received, seconds, minSeconds, maxSeconds)
 	}
 	if feed := status.Feed; feed.Losses > 0 || feed.Duplicates > 0 || feed.Gaps > 0 {
-		t.Errorf("got %+v, want no losses, duplicates and gaps", feed)
+		t.Errorf("got %+v, want no losses, duplicates or gaps", feed)
 	}
-	for i, key := range in.taken["d0"] {
+	for i, key := range in.accepted["d0"] {
 		if want := fmt.Sprintf("%seach/%d", keyEvent, i); key != want {
 			t.Fatalf("event %d has key %s, want %s", i, key, want)
 		}
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -18,29 +18,29 @@
 )
 
 // Follower is a director of an installation with control machines. It has links to two of them and subscribes to the change feed
-// on one. It neither votes nor runs jobs, and knows no other director. Without a link the director goes on serving by its own
-// health checks. The methods are safe for concurrent use.
+// over one. It neither votes nor runs jobs, and has no connection to other directors. Without a link the director goes on serving
+// and relies on its own health checks. The methods are safe for concurrent use.
 type Follower struct {
-	name          string
-	log           *logrus.Entry
-	options       FollowerOptions
-	health        *healthLearner
-	start         time.Time
-	uplinks       *peer.Uplinks
-	statusServer  *peer.QueryServer // nil if the file gives this director no address
-	unreadableLog limitedLog        // for messages that cannot be decoded
+	name           string
+	log            *logrus.Entry
+	options        FollowerOptions
+	health         *healthApplier
+	start          time.Time
+	uplinks        *peer.Uplinks
+	statusServer   *peer.QueryServer // nil if the operator file has no address for this director
+	decodeErrorLog rateLimitedLog    // for messages that cannot be decoded
 
 	mu          sync.Mutex // guards everything below
 	file        *clusterconfig.File
 	reader      *changefeed.Reader
-	hasLeader   bool      // whether a majority of control machines follows a leader, as last reported
+	hasLeader   bool      // whether a majority of control machines follows a leader, as last reported by one
 	leaderSince time.Time // when hasLeader last changed
 	closed      bool
 }
 
 // FollowerOptions are options of a follower for tests.
 type FollowerOptions struct {
-	// OnEvent is called with every accepted event, by the goroutine that reads the link; nil: not called.
+	// OnEvent, if set, is called with every accepted event by the goroutine that reads the link.
 	OnEvent func(event *changefeed.Event)
 }
 
@@ -51,8 +51,8 @@
 	Feed    changefeed.ReaderCounts `json:"stream"`
 	Vector  changefeed.Vector       `json:"vector"`
 	Health  HealthCounts            `json:"told"`
-	// LeaderlessFor is for how long no majority of control machines has followed a leader, as far as this director knows; 0: a
-	// majority does. It counts while this director has no link, or the last report of a control machine says so.
+	// LeaderlessFor is how long no majority of control machines has followed a leader, as far as this director knows; 0: a
+	// majority follows one. Time without a link counts, and so does time after a control machine reported that there is no leader.
 	LeaderlessFor time.Duration `json:"without_ns"`
 }
 
@@ -60,19 +60,19 @@
 // change.
 const roleDirector = "director"
 
-// Follow starts a follower for the director of a name. It answers requests for its status if the operator file gives the director
-// an address. An error means that the file does not list the name among its directors, or that the address cannot be listened
-// at. The caller must call Close or Leave.
+// Follow starts a follower for the named director. It responds to status queries if the operator file has an address for the
+// director. It returns an error if the file does not list the name among its directors, or if it cannot listen at the address. The
+// caller must call Close or Leave.
 func Follow(file *clusterconfig.File, name string, local LocalDirector, log *logrus.Entry, options FollowerOptions) (*Follower, error) {
 	if file.Role(name) != clusterconfig.Director {
-		return nil, fmt.Errorf("%q is not among the directors of the operator file", name)
+		return nil, fmt.Errorf("%q is not listed as a director in the operator file", name)
 	}
 	now := time.Now()
 	follower := &Follower{
 		name:        name,
 		log:         log,
 		options:     options,
-		health:      newHealthLearner(local),
+		health:      newHealthApplier(local),
 		start:       now,
 		file:        file,
 		reader:      changefeed.NewReader(file.ControlNames()),
@@ -83,7 +83,7 @@
 		server, err := peer.OpenQueryServer(address, peer.QueryHandlers{topicStatus: follower.answerStatus})
 		if err != nil {
 			follower.uplinks.Close()
-			return nil, fmt.Errorf("the address for status: %w", err)
+			return nil, fmt.Errorf("listening for status queries: %w", err)
 		}
 		follower.statusServer = server
 	}
@@ -91,7 +91,7 @@
 	return follower, nil
 }
 
-// openUplinks opens the links. It holds the lock, so that messages wait until f.uplinks is set.
+// openUplinks opens the links. It holds the lock, so that no message is handled before f.uplinks is set.
 func (f *Follower) openUplinks() {
 	seed := fnv.New64a()
 	seed.Write([]byte(f.name))
@@ -123,8 +123,8 @@
 	return machines
 }
 
-// subscription returns the subscription message of a link. It asks for the events after the last accepted one of each control
-// machine.
+// subscription returns the message that subscribes to the feed over a link. It requests the events after the last accepted one of
+// each control machine.
 func (f *Follower) subscription() (topic string, payload []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,12 +144,12 @@
 	}
 }
 
-// handleEvents handles a batch of events. If one is missing it subscribes again, after the last accepted one. It logs and drops a
-// batch that cannot be decoded.
+// handleEvents handles a batch of events. If an event is missing it subscribes again, to the events after the last accepted one. It
+// logs and drops a batch that cannot be decoded.
 func (f *Follower) handleEvents(payload []byte) {
 	events, err := changefeed.ParseEvents(payload)
 	if err != nil {
-		f.unreadableLog.warn(f.log.WithError(err), "notes that cannot be read")
+		f.decodeErrorLog.warn(f.log.WithError(err), "cannot decode event batch")
 		return
 	}
 	missing := false
@@ -169,7 +169,7 @@
 	}
 }
 
-// accept passes an event to the reader under the lock.
+// accept passes an event to the reader while holding the lock.
 func (f *Follower) accept(event *changefeed.Event) changefeed.Verdict {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +184,7 @@
 		return
 	}
 	f.hasLeader, f.leaderSince = hasLeader, time.Now()
-	f.log.WithField("majority", hasLeader).Info("control machines")
+	f.log.WithField("majority", hasLeader).Info("control machine majority changed")
 }
 
 // Status returns the present status of this director.
@@ -206,7 +206,7 @@
 	return status
 }
 
-// answerStatus answers a request for the status, as JSON. The other instances in it are the control machines.
+// answerStatus responds to a query for the status, as JSON. The other instances that it lists are the control machines.
 func (f *Follower) answerStatus([]byte) ([]byte, error) {
 	own := f.Status()
 	status := Status{Follower: &own, Health: own.Health, Others: map[string]string{}, Results: map[string]Result{}}
@@ -219,8 +219,8 @@
 	return json.Marshal(status)
 }
 
-// Reload applies a changed operator file: control machines may be added, removed and moved. If a change takes effect at a start
-// only, nothing of the file is applied and the error is a *RestartError.
+// Reload applies a changed operator file: control machines may be added, removed and moved. If a change requires a restart, nothing
+// of the file is applied and the error is a *RestartError.
 func (f *Follower) Reload(file *clusterconfig.File) error {
 	f.mu.Lock()
 	if keys := file.FixedDifferences(f.file, f.name); len(keys) > 0 {
@@ -231,11 +231,11 @@
 	f.reader.SetOrigins(file.ControlNames())
 	f.mu.Unlock()
 	f.uplinks.SetControl(controlMachines(file))
-	f.log.WithField("control", len(file.Control)).Info("operator file read again")
+	f.log.WithField("control", len(file.Control)).Info("operator file reloaded")
 	return nil
 }
 
-// Leave closes the follower. A follower has nothing to hand over.
+// Leave closes the follower, which has nothing to hand over.
 func (f *Follower) Leave() { f.Close() }
 
 // Close closes the links and the status server and waits for their goroutines. Further calls have no effect.
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Health reports and events reach every director once, whichever control machine runs the job, also after the leader has failed
-// and after it is back.
+// Health reports and events reach every director exactly once, whichever control machine runs the job, even after the leader has
+// failed and after it has restarted.
 func TestEventsReachEveryDirectorOnce(t *testing.T) {
 	in := startInstallation(t, 3, 12)
 	for _, follower := range in.followers {
@@ -22,16 +22,16 @@
 	await(t, "all follow again", in.allFollow)
 
 	in.startMember(failed)
-	await(t, "it has caught up", func() bool {
+	await(t, "the restarted machine has caught up", func() bool {
 		status := in.members[failed].Status()
 		return status.Feed.Counts.Accepted > 0 && status.LeaderlessFor == 0
 	})
 	for _, follower := range in.followers {
 		before := follower.Status().Feed.Accepted
-		await(t, "events go on", func() bool { return follower.Status().Feed.Accepted > before+20 })
+		await(t, "further events", func() bool { return follower.Status().Feed.Accepted > before+20 })
 	}
 
-	in.compareTaken()
+	in.compareAccepted()
 	for name, follower := range in.followers {
 		if status := follower.Status(); status.Feed.Losses > 0 || status.Feed.Old > 0 {
 			t.Errorf("%s: got %+v, want no losses and no old events", name, status.Feed)
@@ -39,12 +39,12 @@
 	}
 }
 
-// A director that the control machines do not list gets no link. The listed directors go on following.
+// A director that the control machines do not list gets no link. The listed directors keep their links.
 func TestUnlistedDirectorGetsNoLink(t *testing.T) {
 	in := startInstallation(t, 3, 2)
 	in.file = strings.Replace(in.file, "name: d1,", "name: unlisted,", 1)
 	in.startFollower("unlisted")
-	await(t, "rejected and counted", func() bool {
+	await(t, "rejections counted", func() bool {
 		rejected := 0
 		for _, member := range in.members {
 			rejected += member.Status().Bus.Counts.Unlisted
@@ -56,12 +56,12 @@
 	}
 	delete(in.followers, "unlisted")
 	if !in.allFollow() {
-		t.Error("listed directors do not follow any more")
+		t.Error("a listed director no longer follows the control machines")
 	}
 }
 
-// Control machines answer requests for their status, and so do directors that have an address.
-func TestStatusQueries(t *testing.T) {
+// Control machines respond to status queries, and so do directors that have an address.
+func TestStatusQueriesOfControlMachinesAndDirectors(t *testing.T) {
 	in := startInstallation(t, 3, 1)
 	address := freeAddresses(t, 1)[0]
 	in.followers["d0"].Close()
@@ -89,7 +89,7 @@
 	}
 }
 
-// A director rejects an operator file with changes that take effect at a start only, and the error names the keys.
+// A director rejects an operator file with changes that require a restart, and the error lists the keys.
 func TestFollowerRejectsFixedDifferences(t *testing.T) {
 	in := startInstallation(t, 3, 1)
 	for name, test := range map[string]struct{ old, replacement string }{
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -1,6 +1,6 @@
 package cluster
 
-// Results of health checks, made here or by other instances, on their way to the local director.
+// Delivery of health check results, made here or by other instances, to the local director.
 
 import (
 	"sync"
@@ -15,12 +15,12 @@
 	Silent       int `json:"silent"`  // accepted results of machines that did not respond
 	Alive        int `json:"alive"`   // accepted results of machines that responded
 	Outdated     int `json:"passed"`  // dropped results that were older than known ones
-	Inconclusive int `json:"doubted"` // checks of this instance that were inconclusive and so not reported
+	Inconclusive int `json:"doubted"` // checks by this instance that were inconclusive and therefore not reported
 }
 
-// healthLearner passes results of health checks to the local director if they are newer than the known ones. It is safe for
+// healthApplier passes results of health checks to the local director, unless it has already passed newer ones. It is safe for
 // concurrent use.
-type healthLearner struct {
+type healthApplier struct {
 	director LocalDirector
 
 	mu     sync.Mutex // guards everything below
@@ -28,20 +28,20 @@
 	counts HealthCounts
 }
 
-func newHealthLearner(local LocalDirector) *healthLearner {
-	return &healthLearner{director: local, board: lease.NewHealthBoard()}
+func newHealthApplier(local LocalDirector) *healthApplier {
+	return &healthApplier{director: local, board: lease.NewHealthBoard()}
 }
 
-// apply applies a report that is received now. Age is how long the report was in transit or stored elsewhere; it adds to the ages
-// in the report.
-func (l *healthLearner) apply(now, age time.Duration, report *lease.HealthReport) {
+// apply passes the results of a report to the director. The parameter age is how long the report was in transit or stored at other
+// machines; it is added to the ages in the report.
+func (l *healthApplier) apply(now, age time.Duration, report *lease.HealthReport) {
 	for _, result := range l.accept(now, report) {
 		l.director.PeerHealth(result.Node, result.StartedUnix, result.Alive, result.Age+age)
 	}
 }
 
-// accept returns the results of a report that are newer than the known ones, and counts all results.
-func (l *healthLearner) accept(now time.Duration, report *lease.HealthReport) []lease.MachineHealth {
+// accept returns the results of a report that are newer than the known ones, and counts accepted and outdated results.
+func (l *healthApplier) accept(now time.Duration, report *lease.HealthReport) []lease.MachineHealth {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	accepted := l.board.Accept(now, report)
@@ -56,15 +56,15 @@
 	return accepted
 }
 
-// countInconclusive counts a check of this instance that was inconclusive.
-func (l *healthLearner) countInconclusive() {
+// countInconclusive counts a check by this instance that was inconclusive.
+func (l *healthApplier) countInconclusive() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Inconclusive++
 }
 
 // snapshot returns the present counts.
-func (l *healthLearner) snapshot() HealthCounts {
+func (l *healthApplier) snapshot() HealthCounts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
@@ -74,7 +74,7 @@
 func (m *Member) handleHealthReport(from peer.Sender, payload []byte) {
 	report, err := lease.ParseHealthReport(payload)
 	if err != nil {
-		m.unreadableLog.warn(m.log.WithError(err).WithField("peer", from.Name), "probing: a message that cannot be read")
+		m.decodeErrorLog.warn(m.log.WithError(err).WithField("peer", from.Name), "cannot decode health report")
 		return
 	}
 	m.health.apply(m.now(), 0, &report)
--- a/internal/cluster/health_test.go
+++ b/internal/cluster/health_test.go
@@ -9,24 +9,25 @@
 	"indigochute.example/indigochute/internal/peer"
 )
 
-// An instance for which most caches do not respond counts its checks as inconclusive and reports nothing.
+// An instance to which most caches do not respond counts its checks as inconclusive and reports no results. Otherwise an instance
+// that is cut off would make all directors eject the caches.
 func TestInconclusiveHealthChecksAreNotReported(t *testing.T) {
 	local := newFakeDirector(4, func(id uint32) bool { return id == 1 })
 	member := startAlone(t, local)
 	await(t, "inconclusive checks", func() bool { return member.Status().Health.Inconclusive > 2 })
 	if got := local.reports.Load(); got > 0 {
-		t.Errorf("got %d reports of machines that seem to fail all at once, want none", got)
+		t.Errorf("got %d reports although most caches did not respond, want none", got)
 	}
 	for name, result := range member.Status().Results {
 		if !strings.Contains(result.Error, "cut off") {
-			t.Errorf("%s: got error %q, want one that the instance may be cut off", name, result.Error)
+			t.Errorf("%s: got error %q, want one that says that the instance may be cut off", name, result.Error)
 		}
 	}
 }
 
-// A check without a result, as after a failure of this host, counts neither as a machine that is down nor makes the run
+// A check without a result, as after a failure of this host, does not count as a machine that is down and does not make the run
 // inconclusive.
-func TestHealthChecksWithoutResult(t *testing.T) {
+func TestHealthChecksWithoutResultAreNotCounted(t *testing.T) {
 	local := newFakeDirector(4, allAlive)
 	local.inconclusive = func(id uint32) bool { return id > 1 }
 	member := startAlone(t, local)
@@ -36,8 +37,8 @@
 	}
 }
 
-// Health reports are accepted while the operator file is reloaded. Under the race detector the test fails if the clock for leases
-// reads the file without the lock.
+// Health reports are accepted while the operator file is reloaded. With the race detector the test fails if the clock for leases
+// reads the file without holding the lock.
 func TestHealthReportsDuringReload(t *testing.T) {
 	const rounds = 200
 	member := startAlone(t, newFakeDirector(0, allAlive))
@@ -55,6 +56,6 @@
 	}
 	reloads.Wait()
 	if counts := member.Status().Health; counts.Alive != rounds {
-		t.Errorf("got %+v, want %d alive", counts, rounds)
+		t.Errorf("got %+v, want %d alive machines", counts, rounds)
 	}
 }
--- a/internal/cluster/healthcheck.go
+++ b/internal/cluster/healthcheck.go
@@ -13,16 +13,16 @@
 	"indigochute.example/indigochute/internal/lease"
 )
 
-// healthReportLifetimePeriods is the lifetime of a health report, in periods of its job. It is bounded because a machine may have
-// changed since the check.
+// healthReportLifetimePeriods is the lifetime of a health report, in periods of its job. The lifetime is limited because the health
+// of a machine may have changed since the check.
 const healthReportLifetimePeriods = 10
 
-// errInconclusive is the error of a health check by which most caches are down at once; see lease.Inconclusive. It guards against
-// an instance that is cut off from the machines and would make all directors eject them.
-var errInconclusive = errors.New("more than half of the machines are silent: this instance may be cut off, so nothing is told")
+// errInconclusive is the error of a health check to which most caches did not respond; see lease.Inconclusive. It prevents an
+// instance that is cut off from the machines from making all directors eject them.
+var errInconclusive = errors.New("more than half of the caches did not respond: no results are reported, as this instance may be cut off")
 
-// runHealthCheck is one run of a health check job: it checks every cache and parent and reports the results to all directors,
-// unless they are inconclusive. The error is errLeaseLost, errInconclusive, a *panicError of a check or that of publishing.
+// runHealthCheck performs one run of a health check job: it checks every cache and parent and reports the results to all directors,
+// unless they are inconclusive. The error is errLeaseLost, errInconclusive, a *panicError of a check or an error of publish.
 func (m *Member) runHealthCheck(ctx context.Context, r *run, duty clusterconfig.Duty) error {
 	m.mu.Lock()
 	probe := m.file.Probe
@@ -59,8 +59,8 @@
 	began  time.Time
 
 	mu      sync.Mutex
-	results []lease.MachineHealth // until all checks are done Age is the time from began to the start of the machine's check
-	failure error                 // of a check that panicked; nil: none
+	results []lease.MachineHealth // until all checks are done, Age is the time from began to the start of the check of the machine
+	failure error                 // *panicError of a check; nil: none panicked
 }
 
 // checkAll checks all machines, up to Probe.Concurrency at a time, and returns the results with their ages. It starts no further
@@ -89,7 +89,7 @@
 	return h.results, nil
 }
 
-// check checks one machine and records the result, unless the check was not conclusive.
+// check checks one machine and records the result if the check was conclusive.
 func (h *healthCheck) check(machine director.Machine) {
 	startedAt := time.Now()
 	alive, conclusive, err := h.call(machine)
@@ -108,15 +108,15 @@
 	}
 }
 
-// call lets the director check a machine. It turns a panic into a *panicError: in this goroutine it would end the process.
+// call lets the director check a machine. It turns a panic into a *panicError, as a panic in this goroutine would end the process.
 func (h *healthCheck) call(machine director.Machine) (alive, conclusive bool, err error) {
 	defer h.member.recoverPanic(h.duty, &err)
 	alive, conclusive = h.member.director.CheckMachine(machine, h.probe.Timeout.Duration(), h.probe.Vhost, h.probe.Object)
 	return alive, conclusive, nil
 }
 
-// cachesOnly returns the results of caches, without those of parents. Whether a check is conclusive is judged by the caches alone,
-// as they are many and alike.
+// cachesOnly returns the results of caches, without those of parents. Only the caches decide whether a run is conclusive, as there
+// are many of them and they are alike.
 func cachesOnly(results []lease.MachineHealth, machines []director.Machine) (caches []lease.MachineHealth) {
 	isParent := map[uint32]bool{}
 	for _, machine := range machines {
--- a/internal/cluster/installation_test.go
+++ b/internal/cluster/installation_test.go
@@ -19,7 +19,7 @@
 	"indigochute.example/indigochute/internal/lease"
 )
 
-// fakeDirector is a LocalDirector whose health checks have the results that a test sets.
+// fakeDirector is a LocalDirector whose health checks have results that a test sets.
 type fakeDirector struct {
 	alive        func(id uint32) bool
 	inconclusive func(id uint32) bool // whether a check has no result; nil: all have one
@@ -27,7 +27,7 @@
 	reports      atomic.Int64 // calls of PeerHealth
 }
 
-// newFakeDirector returns a director that knows so many machines, whose ids count from 1.
+// newFakeDirector returns a director that knows the given number of machines, with ids from 1.
 func newFakeDirector(machines int, alive func(id uint32) bool) *fakeDirector {
 	d := &fakeDirector{alive: alive}
 	for i := range machines {
@@ -36,7 +36,7 @@
 	return d
 }
 
-// allAlive is a fakeDirector.alive by which every machine responds.
+// allAlive is a value of fakeDirector.alive for which every machine responds.
 func allAlive(uint32) bool { return true }
 
 func (d *fakeDirector) Machines() []director.Machine { return d.machines }
@@ -82,11 +82,11 @@
 	members   map[string]*Member
 	followers map[string]*Follower
 
-	mu    sync.Mutex
-	taken map[string][]string // keys of the accepted events of job each, in order, by director
+	mu       sync.Mutex
+	accepted map[string][]string // by director: keys of the accepted events of the job "each", in order
 }
 
-// testIntervalsAndJobs is the end of an operator file with short intervals and jobs for tests.
+// testIntervalsAndJobs is the last part of an operator file, with short intervals and with jobs for tests.
 const testIntervalsAndJobs = `
 lease: 300ms
 beat: 50ms
@@ -97,7 +97,8 @@
   - {name: last, kind: note, period: 150ms, timeout: 100ms, bytes: 20000, keep: last}
 `
 
-// operatorFile returns the text of an operator file of so many control machines, at free addresses, and directors. It ends with rest.
+// operatorFile returns the text of an operator file with the given numbers of control machines, at free addresses, and directors. The
+// text ends with rest.
 func operatorFile(t *testing.T, controlMachines, directors int, rest string) string {
 	t.Helper()
 	var text strings.Builder
@@ -112,7 +113,7 @@
 	return text.String() + rest
 }
 
-// freeAddresses returns different addresses of loopback that are free.
+// freeAddresses returns different loopback addresses with free ports.
 func freeAddresses(t *testing.T, count int) (addresses []string) {
 	t.Helper()
 	for range count {
@@ -120,20 +121,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer listener.Close() // all stay open until the last is, so that the addresses differ
+		defer listener.Close() // all listeners stay open until the function returns, so that the addresses differ
 		addresses = append(addresses, listener.Addr().String())
 	}
 	return addresses
 }
 
-// discardLog returns a log that is discarded.
+// discardLog returns a log whose output is discarded.
 func discardLog(name string) *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log.WithField("name", name)
 }
 
-// parseFile parses an operator file for the machine of a name.
+// parseFile parses an operator file for the named machine.
 func parseFile(t *testing.T, text, name string) *clusterconfig.File {
 	t.Helper()
 	file, err := clusterconfig.Parse("test", []byte(text), name)
@@ -143,18 +144,18 @@
 	return file
 }
 
-// newInstallation returns an installation in which nothing runs.
+// newInstallation returns an installation in which no machine has been started.
 func newInstallation(t *testing.T, file string) *installation {
 	return &installation{
 		t:         t,
 		file:      file,
 		members:   map[string]*Member{},
 		followers: map[string]*Follower{},
-		taken:     map[string][]string{},
+		accepted:  map[string][]string{},
 	}
 }
 
-// startInstallation starts an installation and waits until all directors follow.
+// startInstallation starts an installation and waits until all directors follow the control machines.
 func startInstallation(t *testing.T, controlMachines, directors int) *installation {
 	t.Helper()
 	in := newInstallation(t, operatorFile(t, controlMachines, directors, testIntervalsAndJobs))
@@ -168,13 +169,13 @@
 	return in
 }
 
-// startMember starts a control machine. It is closed with the test.
+// startMember starts a control machine, which is closed when the test ends.
 func (in *installation) startMember(name string) {
 	in.t.Helper()
 	in.startMemberWithClock(name, time.Now)
 }
 
-// startMemberWithClock is startMember with a wall clock.
+// startMemberWithClock is startMember with a wall clock for the control machine.
 func (in *installation) startMemberWithClock(name string, wallClock func() time.Time) {
 	in.t.Helper()
 	options := startOptions{wallClock: wallClock}
@@ -187,13 +188,13 @@
 	in.t.Cleanup(member.Close)
 }
 
-// startFollower starts a director. It is closed with the test.
+// startFollower starts a director, which is closed when the test ends.
 func (in *installation) startFollower(name string) {
 	in.t.Helper()
 	onEvent := func(event *changefeed.Event) {
 		if strings.HasPrefix(event.Key, keyEvent+"each") {
 			in.mu.Lock()
-			in.taken[name] = append(in.taken[name], event.Key)
+			in.accepted[name] = append(in.accepted[name], event.Key)
 			in.mu.Unlock()
 		}
 	}
@@ -216,7 +217,7 @@
 	return true
 }
 
-// leader returns the name of the leader; empty: none.
+// leader returns the name of the leader, or "" if there is none.
 func (in *installation) leader() string {
 	for name, member := range in.members {
 		if member.Status().Lease.Role == lease.RoleLeader {
@@ -226,37 +227,37 @@
 	return ""
 }
 
-// eventsInTransit is how many events may be on their way to a director while events of all directors are compared.
+// eventsInTransit is the maximum number of events in transit to a director while the events of all directors are compared.
 const eventsInTransit = 2
 
-// allTookAsMany reports whether every director has accepted as many events as any other, but for eventsInTransit.
-func (in *installation) allTookAsMany() bool {
+// allAcceptedAsMany reports whether all directors have accepted the same number of events, except for eventsInTransit.
+func (in *installation) allAcceptedAsMany() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	most := 0
-	for _, keys := range in.taken {
-		most = max(most, len(keys))
+	largest := 0
+	for _, keys := range in.accepted {
+		largest = max(largest, len(keys))
 	}
 	for name := range in.followers {
-		if len(in.taken[name]) < most-eventsInTransit {
+		if len(in.accepted[name]) < largest-eventsInTransit {
 			return false
 		}
 	}
 	return true
 }
 
-// compareTaken waits until all directors have accepted as many events, and fails the test if one accepted an event twice or more
-// than those in transit are missing.
-func (in *installation) compareTaken() {
+// compareAccepted waits until all directors have accepted the same number of events. It fails the test if a director accepted an event
+// twice, or if more events are missing than may be in transit.
+func (in *installation) compareAccepted() {
 	in.t.Helper()
-	await(in.t, "all took as many", in.allTookAsMany)
+	await(in.t, "all directors have accepted the same number of events", in.allAcceptedAsMany)
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	followersByKey := map[string]int{}
-	for name, keys := range in.taken {
+	for name, keys := range in.accepted {
 		sorted := slices.Sorted(slices.Values(keys))
 		if len(slices.Compact(sorted)) != len(keys) {
-			in.t.Errorf("%s took an event twice", name)
+			in.t.Errorf("%s accepted an event twice", name)
 		}
 		for _, key := range keys {
 			followersByKey[key]++
@@ -269,7 +270,7 @@
 		}
 	}
 	if missed > eventsInTransit*len(in.followers) {
-		in.t.Errorf("%d of %d events were not taken by all", missed, len(followersByKey))
+		in.t.Errorf("%d of %d events were not accepted by all directors", missed, len(followersByKey))
 	}
 }
 
@@ -278,7 +279,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(8 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("not in time:", condition)
+			t.Fatal("not within 8 seconds:", condition)
 		}
 	}
 }
--- a/internal/cluster/jobkinds.go
+++ b/internal/cluster/jobkinds.go
@@ -22,9 +22,9 @@
 // callFields is the number of fields of a request of a call job: job, instance, fencing token and run.
 const callFields = 4
 
-// runCall is one run of a call job: it sends a request to an address when the run begins and another when it ends, each within the
-// job's timeout. Both carry the fencing token, so that the receiver can reject requests under an older one. The error is
-// errLeaseLost, that of peer.Query or the cause why the run was canceled.
+// runCall performs one run of a call job: it sends a request to an address when the run begins and another when it ends, each within
+// the job's timeout. Both carry the fencing token, so that the receiver can reject requests with an older token. The error is
+// errLeaseLost, an error of peer.Query, or the reason why the run was canceled.
 func (m *Member) runCall(ctx context.Context, r *run, duty clusterconfig.Duty) error {
 	for _, topic := range []string{callBegin, callEnd} {
 		fence, err := m.mayAct(r)
@@ -51,9 +51,9 @@
 	return msgpack.AppendUint(b, run)
 }
 
-// publishTestEvent is one run of an event job, which is for tests. It publishes an event of the configured size whose payload
+// publishTestEvent performs one run of an event job, which is for tests. It publishes an event of the configured size whose payload
 // begins with three numbers of eight bytes: the time of publishing in Unix nanoseconds, the run and the fencing token. The error
-// is errLeaseLost or that of publishing.
+// is errLeaseLost or an error of publish.
 func (m *Member) publishTestEvent(r *run, duty clusterconfig.Duty) error {
 	fence, err := m.mayAct(r)
 	if err != nil {
--- a/internal/cluster/jobs.go
+++ b/internal/cluster/jobs.go
@@ -14,38 +14,38 @@
 	"indigochute.example/indigochute/internal/lease"
 )
 
-// maxHungRuns bounds the runs of one job whose goroutine has not returned. At the bound a further run fails at once, which guards
-// against goroutines that pile up while runs hang past their deadlines.
+// maxHungRuns is the maximum number of runs of one job whose goroutines have not returned. A run above the limit fails at once, so
+// that goroutines do not accumulate while runs hang past their deadlines.
 const maxHungRuns = 4
 
-// Reasons why a run failed. Their texts are part of Result and must not change.
+// Reasons why a run failed. Result has their texts.
 var (
-	errLeaseLost       = errors.New("the lease ended amid the run")
-	errRunTimeout      = errors.New("not done within its time-out")
-	errTooManyHungRuns = fmt.Errorf("%d earlier runs hang", maxHungRuns)
+	errLeaseLost       = errors.New("lease lost during the run")
+	errRunTimeout      = errors.New("run exceeded its timeout")
+	errTooManyHungRuns = fmt.Errorf("%d earlier runs have not returned", maxHungRuns)
 )
 
 // panicError is the error of a run that panicked.
 type panicError struct {
-	value any // of the panic
+	value any // passed to panic
 }
 
 func (e *panicError) Error() string { return fmt.Sprintf("panic: %v", e.value) }
 
-// job has the runs of a periodic job at this instance. The lock of the member guards it.
+// job is the state of a periodic job at this instance. The lock of the member guards it.
 type job struct {
-	runs     []*run // those whose goroutine has not returned
-	last     Result // of the run that ended last
-	finished int    // runs that ended, failed ones included
-	failed   int
+	runs     []*run // runs whose goroutine has not returned
+	last     Result // result of the run that ended last
+	finished int    // number of runs that ended, including failed ones
+	failed   int    // number of runs that failed
 }
 
 // Result is the result of a run. The JSON keys must not change.
 type Result struct {
-	Fence     uint64        `json:"fence"`
+	Fence     uint64        `json:"fence"`    // fencing token of the run
 	StartedAt time.Duration `json:"began_ns"` // by the instance's clock for leases
 	Duration  time.Duration `json:"took_ns"`
-	Error     string        `json:"error"` // empty: it succeeded
+	Error     string        `json:"error"` // empty if the run succeeded
 }
 
 // run is one run of a job.
@@ -53,14 +53,14 @@
 	order     lease.RunOrder
 	startedAt time.Duration // by the instance's clock for leases
 	cancel    context.CancelCauseFunc
-	ended     bool // its result is recorded; its goroutine may still hang, but cannot act any more
+	ended     bool // the result is recorded; the goroutine may still hang, but may no longer act
 }
 
-// beginRun begins a run. If the run may not begin, whatever the reason, it is recorded as failed with errTooManyHungRuns. Called
-// with the lock held.
+// beginRun begins a run. A run that may not begin is recorded as failed with errTooManyHungRuns, also if the job was removed or the
+// member is closing. The caller must hold the lock.
 //
-// Each run has a goroutine, which its job keeps track of. A run is canceled at its deadline, when its lease is lost and by Close.
-// None of these waits for the goroutine, as a run that hangs must not delay the others.
+// Each run has its own goroutine, and the job lists the runs whose goroutine has not returned. A run is canceled at its deadline,
+// when its lease is lost and by Close. None of these waits for the goroutine, as a run that hangs must not delay the others.
 func (m *Member) beginRun(now time.Duration, order lease.RunOrder) {
 	j, duty := m.jobs[order.Duty], m.dutyByName(order.Duty)
 	if j == nil {
@@ -74,15 +74,15 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	r := &run{order: order, startedAt: now, cancel: cancel}
 	j.runs = append(j.runs, r)
-	dutyOfRun := *duty // a copy, as the file may be replaced during the run
+	dutyCopy := *duty // a copy, as the file may be replaced during the run
 	go func() {
-		err := m.perform(ctx, r, dutyOfRun)
+		err := m.perform(ctx, r, dutyCopy)
 		cancel(nil)
 		m.runReturned(j, r, err)
 	}()
 }
 
-// runReturned records that the goroutine of a run has returned, and the result if the run has not ended before.
+// runReturned records that the goroutine of a run has returned. It also records the result, unless the run has already ended.
 func (m *Member) runReturned(j *job, r *run, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// endRun records the result of a run, once. Called with the lock held.
+// endRun records the result of a run. It must be called once per run. The caller must hold the lock.
 func (m *Member) endRun(now time.Duration, j *job, r *run, err error) {
 	r.ended = true
 	j.last = Result{Fence: r.order.Fence, StartedAt: r.startedAt, Duration: now - r.startedAt}
@@ -100,12 +100,13 @@
 	if err != nil {
 		j.failed++
 		j.last.Error = err.Error()
-		m.log.WithError(err).WithField("duty", r.order.Duty).Warn("a run failed")
+		m.log.WithError(err).WithField("duty", r.order.Duty).Warn("job run failed")
 	}
 	m.lease.RunEnded(r.order.Duty, r.order.Run)
 }
 
-// endExpiredRuns cancels and ends the runs whose lease or deadline has passed. Called with the lock held.
+// endExpiredRuns cancels and ends the runs of a job that may no longer act, as the lease was lost or the deadline has passed. The
+// caller must hold the lock.
 func (m *Member) endExpiredRuns(now time.Duration, j *job) {
 	for _, r := range j.runs {
 		if r.ended {
@@ -123,14 +124,14 @@
 	}
 }
 
-// cancelRuns cancels all runs of the job. Called with the lock held.
+// cancelRuns cancels all runs of the job. The caller must hold the lock.
 func (j *job) cancelRuns() {
 	for _, r := range j.runs {
 		r.cancel(errLeaseLost)
 	}
 }
 
-// mayAct returns the fencing token under which a run may act now. The error is errLeaseLost if it may not.
+// mayAct returns the fencing token that the actions of a run must carry, or errLeaseLost if the run may no longer act.
 func (m *Member) mayAct(r *run) (fence uint64, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,7 +145,7 @@
 	return fence, nil
 }
 
-// perform does the work of a run. After a panic the error is a *panicError.
+// perform performs a run according to the kind of its job. If the run panics the error is a *panicError.
 func (m *Member) perform(ctx context.Context, r *run, duty clusterconfig.Duty) (err error) {
 	defer m.recoverPanic(duty.Name, &err)
 	switch duty.Kind {
@@ -156,10 +157,10 @@
 	return m.runCall(ctx, r, duty)
 }
 
-// recoverPanic turns a panic into a *panicError and logs it with its stack. It must be called by defer.
+// recoverPanic turns a panic into a *panicError and logs it with its stack. It must be called by a defer statement.
 func (m *Member) recoverPanic(duty string, err *error) {
 	if value := recover(); value != nil {
-		m.log.WithField("panic", value).Errorf("duty %s: %s", duty, debug.Stack())
+		m.log.WithField("panic", value).Errorf("panic in a run of duty %s: %s", duty, debug.Stack())
 		*err = &panicError{value}
 	}
 }
--- a/internal/cluster/jobs_test.go
+++ b/internal/cluster/jobs_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// idleListener is a listener without connections. Unlike a socket it lets the clock of a synctest bubble advance.
+// idleListener is a listener that accepts no connection. Unlike a socket it lets the clock of a synctest bubble advance.
 type idleListener struct {
 	closed  chan struct{}
 	closing sync.Once
 }
 
-// openIdleListener is a startOptions.openListener.
+// openIdleListener returns an idleListener, as startOptions.openListener.
 func openIdleListener(string, string) (net.Listener, error) {
 	return &idleListener{closed: make(chan struct{})}, nil
 }
@@ -32,7 +32,7 @@
 
 func (l *idleListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// No further run of a job begins while maxHungRuns of its runs hang: it fails at once.
+// While maxHungRuns runs of a job hang, a further run fails at once. Otherwise goroutines would accumulate.
 func TestHungRunsAreBounded(t *testing.T) {
 	const jobs, period = 2, 60 * time.Millisecond // of startAlone
 	synctest.Test(t, func(t *testing.T) {
@@ -57,8 +57,8 @@
 	})
 }
 
-// A run that hangs or panics fails. Its job goes on with further runs and keeps its lease. By the clock of a synctest bubble no
-// lease can expire because the machine is busy.
+// A run that hangs or panics fails. Its job continues with further runs, and the instance keeps the lease. The test uses the clock of
+// a synctest bubble, so that no lease expires because the machine is busy.
 func TestHungAndPanickedRunsFail(t *testing.T) {
 	const period = 60 * time.Millisecond // of the jobs of startAlone
 	synctest.Test(t, func(t *testing.T) {
@@ -76,7 +76,7 @@
 		member := startAloneWith(t, local, startOptions{wallClock: time.Now, openListener: openIdleListener})
 		defer close(hang)
 		began := time.Now()
-		await(t, "runs go on past those that hang", func() bool {
+		await(t, "runs continue while others hang", func() bool {
 			status := member.Status()
 			return status.Runs > 8 && status.Hung > 0 && status.Failed < status.Runs
 		})
--- a/internal/cluster/log.go
+++ b/internal/cluster/log.go
@@ -1,6 +1,6 @@
 package cluster
 
-// A limit on log lines that other instances can cause.
+// A rate limit for log lines that other instances can cause.
 
 import (
 	"sync"
@@ -11,15 +11,15 @@
 	"indigochute.example/indigochute/internal/peer"
 )
 
-// limitedLog writes log lines at the rate of peer.LogLimit. It guards against a peer that floods the log with messages that cannot
-// be decoded. It is safe for concurrent use.
-type limitedLog struct {
+// rateLimitedLog writes log lines at the rate of peer.LogLimit at most. It guards against a peer that floods the log with messages
+// that cannot be decoded. It is safe for concurrent use.
+type rateLimitedLog struct {
 	mu    sync.Mutex
 	limit peer.LogLimit
 }
 
-// warn writes a warning with the number of warnings skipped since the last one, or skips it.
-func (l *limitedLog) warn(log *logrus.Entry, message string) {
+// warn writes a warning with the number of warnings skipped since the last one written. Above the rate it skips the warning.
+func (l *rateLimitedLog) warn(log *logrus.Entry, message string) {
 	l.mu.Lock()
 	skipped, ok := l.limit.Pass(time.Now())
 	l.mu.Unlock()
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -1,10 +1,10 @@
-// Package cluster joins an instance to the others of its installation, which the operator file lists.
+// Package cluster connects an instance to the other instances of its installation, which the operator file lists.
 //
 // A Member sends the messages of package lease over package peer and runs the periodic jobs that it has the leases of. On a
 // control machine it also publishes a change feed to the directors. A Follower is a director that subscribes to the feed of the
 // control machines. Both pass the results of health checks by other instances to the local director.
 //
-// The platform's program does not link this package.
+// The program that runs on the platform does not link this package.
 package cluster
 
 import (
@@ -30,19 +30,19 @@
 	// Machines returns the machines that the director knows.
 	Machines() []director.Machine
 	// CheckMachine makes a health check of a machine within a timeout. If a vhost and an object are given it requests that object
-	// as well. A check that is not conclusive, as after a failure of this host, has no result.
+	// as well. A check that is not conclusive, for instance after a failure of this host, has no result: alive must be ignored.
 	CheckMachine(machine director.Machine, timeout time.Duration, vhost, object string) (alive, conclusive bool)
-	// PeerHealth applies the result of a health check that another instance made. StartedUnix is the start time of the machine
-	// that was checked, in Unix milliseconds; age is the time since the check began.
+	// PeerHealth applies the result of a health check, which another instance may have made. The parameter startedUnix is the start
+	// time of the checked machine in Unix milliseconds, and age is the time since the check began.
 	PeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration)
 }
 
 const (
-	ticksPerHeartbeat = 10  // so that nothing is late by more than a tenth of a heartbeat
-	acceptRate        = 200 // connections a second, so that directors that all reconnect at once use only part of a core (docs/CAPACITY.md)
+	ticksPerHeartbeat = 10  // limits the delay of any action to a tenth of a heartbeat interval
+	acceptRate        = 200 // connections a second; when all directors reconnect at once that takes only a part of a core (docs/CAPACITY.md)
 
-	handoverPoll  = 5 * time.Millisecond  // between two checks whether a member that leaves has handed over
-	handoverGrace = 50 * time.Millisecond // for sending the last messages before the connections close
+	handoverPoll  = 5 * time.Millisecond  // interval of the checks whether a leaving member has handed over
+	handoverGrace = 50 * time.Millisecond // time to send the last messages before the connections are closed
 )
 
 // Member is an instance that takes part in leader election and runs periodic jobs. The methods are safe for concurrent use.
@@ -51,15 +51,15 @@
 	log        *logrus.Entry
 	bus        *peer.Bus
 	director   LocalDirector
-	health     *healthLearner
+	health     *healthApplier
 	leaseTopic string
 	start      time.Time
-	clockRate  float64 // of the clock for leases, in its seconds per real second; constant, so that no lock is needed
+	clockRate  float64 // rate of the clock for leases, relative to the host's clock; constant, so that no lock is needed
 
-	unreadableLog limitedLog // for messages that cannot be decoded
+	decodeErrorLog rateLimitedLog // for messages that cannot be decoded
 
 	stop       chan struct{}  // closed by Close
-	goroutines sync.WaitGroup // those that end when stop is closed; runs of jobs are not among them
+	goroutines sync.WaitGroup // goroutines that end when stop is closed; those of runs of jobs are not included
 
 	mu                sync.Mutex // guards everything below
 	file              *clusterconfig.File
@@ -67,22 +67,22 @@
 	feed              *changefeed.Node // nil: not a control machine
 	jobs              map[string]*job  // by name
 	closing           bool
-	loggedRole        string    // the role as last logged; empty: not logged yet
-	leaderAnnounced   bool      // whether there was a leader when subscribers were last woken for that
+	loggedRole        string    // role at the last call of logRole; empty: not called yet
+	leaderAnnounced   bool      // whether there was a leader when that was last announced to subscribers
 	startUnixMilli    uint64    // the wall clock at the start, in Unix milliseconds: the first epoch of the feed
-	announcedEpoch    uint64    // of the feed when subscribers were last woken for that; 0: not yet
-	differingMachines []string  // names of the control machines with another list of control machines, sorted
-	listsSent         time.Time // when the digest of the list was last sent
+	announcedEpoch    uint64    // epoch of the feed that was last announced to subscribers; 0: none yet
+	differingMachines []string  // names of the control machines whose list of control machines differs, sorted
+	listsSent         time.Time // when the digest of this machine's list was last sent
 }
 
-// Start starts the member of a name, a director or a control machine. It listens at the address that the operator file gives for
-// the name. An error means that the file's times are invalid or that the address cannot be listened at. The caller must call Close
-// or Leave.
+// Start starts the named member, which is a director or a control machine. It listens at the address of that name in the operator
+// file. It returns an error if the configuration in the file is invalid or if it cannot listen at the address. The caller must call
+// Close or Leave.
 func Start(file *clusterconfig.File, name string, local LocalDirector, log *logrus.Entry) (*Member, error) {
 	return start(file, name, local, log, startOptions{wallClock: time.Now})
 }
 
-// startOptions are the parts of the host that tests replace.
+// startOptions are the functions of the host that tests replace.
 type startOptions struct {
 	wallClock    func() time.Time
 	openListener func(network, address string) (net.Listener, error) // nil: net.Listen
@@ -90,14 +90,15 @@
 
 // start is Start with options for tests.
 //
-// The wall clock is read at the start only, for the first term and epoch. These tell this incarnation from earlier ones; if the
-// others know higher ones, they count on from those. All durations are of the monotonic clock.
+// The wall clock is read at the start only, for the first term and epoch, which distinguish this incarnation from earlier ones. If
+// other instances know a higher term or epoch, this instance continues above that. All durations are measured by the monotonic
+// clock.
 func start(file *clusterconfig.File, name string, local LocalDirector, log *logrus.Entry, host startOptions) (*Member, error) {
 	member := &Member{
 		name:           name,
 		log:            log,
 		director:       local,
-		health:         newHealthLearner(local),
+		health:         newHealthApplier(local),
 		leaseTopic:     leaseTopicFor(file),
 		start:          time.Now(),
 		clockRate:      file.Try.ClockRate,
@@ -134,7 +135,7 @@
 	return member, nil
 }
 
-// startLease creates the instance of package lease. The error is that of an invalid configuration.
+// startLease creates the instance of package lease. It returns an error if the configuration is invalid.
 func (m *Member) startLease() error {
 	config := lease.Config{
 		Name:           m.name,
@@ -153,13 +154,13 @@
 	return nil
 }
 
-// open opens the bus. It holds the lock, so that messages wait until m.bus is set.
+// open opens the bus. It holds the lock, so that no message is handled before m.bus is set.
 func (m *Member) open(options peer.Options) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	bus, err := peer.Open(options)
 	if err != nil {
-		return fmt.Errorf("the address for other directors: %w", err)
+		return fmt.Errorf("listening for other instances: %w", err)
 	}
 	m.bus = bus
 	m.log.WithFields(logrus.Fields{
@@ -167,17 +168,17 @@
 		"instances":  len(m.file.MemberNames()),
 		"duties":     len(m.file.Duties),
 		"silent_for": m.lease.QuietPeriod(),
-	}).Info("talking with other directors")
+	}).Info("listening for other instances")
 	return nil
 }
 
-// now returns the time by this instance's clock for leases.
+// now returns the time since the start by this instance's clock for leases.
 func (m *Member) now() time.Duration {
 	return time.Duration(float64(time.Since(m.start)) * m.clockRate)
 }
 
-// Reload applies a changed operator file. If a change takes effect at a start only, nothing of the file is applied and the error
-// is a *RestartError.
+// Reload applies a changed operator file. If a change requires a restart, nothing of the file is applied and the error is a
+// *RestartError.
 func (m *Member) Reload(file *clusterconfig.File) error {
 	m.mu.Lock()
 	if keys := file.FixedDifferences(m.file, m.name); len(keys) > 0 {
@@ -189,21 +190,21 @@
 	m.mu.Unlock()
 	m.bus.SetPeers(file.PeerAddresses(m.name))
 	m.bus.AllowSubscribers(file.DirectorNames())
-	m.log.WithField("duties", len(file.Duties)).Info("operator file read again")
+	m.log.WithField("duties", len(file.Duties)).Info("operator file reloaded")
 	return nil
 }
 
-// RestartError is the error of an operator file that was not applied because it changes keys that take effect at a start only.
+// RestartError reports that an operator file was not applied because some of its changes require a restart.
 type RestartError struct {
-	Keys []string // from clusterconfig.File.FixedDifferences
+	Keys []string // the changed settings, from clusterconfig.File.FixedDifferences
 }
 
-// Error names the keys.
+// Error lists the changed settings.
 func (e *RestartError) Error() string {
-	return fmt.Sprintf("%s: another value takes effect at a start only; nothing of the file was taken", strings.Join(e.Keys, ", "))
+	return fmt.Sprintf("changing %s requires a restart; nothing of the operator file was applied", strings.Join(e.Keys, ", "))
 }
 
-// run ticks ticksPerHeartbeat times a heartbeat until Close.
+// run calls tick ticksPerHeartbeat times per heartbeat interval until Close.
 func (m *Member) run() {
 	m.mu.Lock()
 	interval := m.file.Heartbeat.Duration() / ticksPerHeartbeat
@@ -220,7 +221,7 @@
 	}
 }
 
-// tick does all that is due: it ends and begins runs of jobs, and sends messages of the lease instance and the feed.
+// tick performs all actions that are due: it ends and begins runs of jobs, and sends messages of the lease instance and the feed.
 func (m *Member) tick() {
 	m.mu.Lock()
 	now := m.now()
@@ -242,8 +243,8 @@
 	}
 }
 
-// tickFeed does all that is due of the feed of a control machine. It returns the messages to send, and whether subscribers must be
-// woken. Called with the lock held.
+// tickFeed performs the actions of a control machine's feed that are due. It returns the messages to send, and whether to call
+// WakeSubscribers. The caller must hold the lock.
 func (m *Member) tickFeed(now time.Duration) (messages []changefeed.Message, wake bool) {
 	if m.feed == nil {
 		return nil, false
@@ -254,7 +255,7 @@
 	return messages, wake
 }
 
-// logRole logs when this instance becomes the leader or ceases to be it. Called with the lock held.
+// logRole logs when this instance becomes the leader or is no longer the leader. The caller must hold the lock.
 func (m *Member) logRole(now time.Duration) {
 	role := lease.RoleFollower
 	if m.lease.IsLeader(now) {
@@ -273,7 +274,7 @@
 func (m *Member) handleLease(from peer.Sender, payload []byte) {
 	message, err := lease.Parse(payload)
 	if err != nil {
-		m.unreadableLog.warn(m.log.WithError(err).WithField("peer", from.Name), "duties: a message that cannot be read")
+		m.decodeErrorLog.warn(m.log.WithError(err).WithField("peer", from.Name), "cannot decode lease message")
 		return
 	}
 	message.From, message.To = from.Name, m.name
@@ -290,8 +291,8 @@
 	}
 }
 
-// Leave hands leases and leadership over to the other members and closes. It waits for the handover, but no longer than a lease
-// lasts.
+// Leave hands leases and leadership over to the other members and closes this one. It waits for the handover, but not longer than the
+// duration of a lease.
 func (m *Member) Leave() {
 	m.mu.Lock()
 	m.lease.Leave()
@@ -300,12 +301,12 @@
 	for !m.handedOver() && time.Now().Before(deadline) {
 		time.Sleep(handoverPoll)
 	}
-	m.log.Info("duties: handed over")
+	m.log.Info("handover of leases ended")
 	time.Sleep(handoverGrace)
 	m.Close()
 }
 
-// handedOver ticks and then reports whether a member that leaves has handed everything over.
+// handedOver calls tick and then reports whether a leaving member has handed everything over.
 func (m *Member) handedOver() bool {
 	m.tick()
 	m.mu.Lock()
@@ -313,8 +314,8 @@
 	return m.lease.HasLeft(m.now())
 }
 
-// Close ends the member without a handover: its leases expire. It cancels the runs and waits for all goroutines but theirs, which
-// may hang. Further calls have no effect.
+// Close stops the member without a handover: its leases expire. It cancels the runs of jobs and waits for all goroutines except those
+// of the runs, which may hang. Further calls have no effect.
 func (m *Member) Close() {
 	m.mu.Lock()
 	if m.closing {
@@ -331,7 +332,7 @@
 	m.goroutines.Wait()
 }
 
-// dutyByName returns the job of a name in the present operator file; nil: there is none. Called with the lock held.
+// dutyByName returns the named job of the present operator file, or nil if there is none. The caller must hold the lock.
 func (m *Member) dutyByName(name string) *clusterconfig.Duty {
 	at := slices.IndexFunc(m.file.Duties, func(d clusterconfig.Duty) bool { return d.Name == name })
 	if at < 0 {
--- a/internal/cluster/publisher.go
+++ b/internal/cluster/publisher.go
@@ -1,6 +1,6 @@
 package cluster
 
-// The messages of a control machine to the directors that subscribe.
+// The messages of a control machine to its subscribers, which are directors.
 
 import (
 	"indigochute.example/indigochute/internal/changefeed"
@@ -8,18 +8,18 @@
 	"indigochute.example/indigochute/internal/peer"
 )
 
-// maxEventBatchBytes bounds the bytes of events in one frame to a director. A single event may be longer.
+// maxEventBatchBytes limits the total size of the events in one frame to a director. A single event may be larger.
 const maxEventBatchBytes = 16 << 10
 
-// subscription is the state of a director that has subscribed. It has no queue, only what the director was sent last.
+// subscription is the state of a director that has subscribed. It has no queue of messages, but records what was last sent.
 type subscription struct {
-	cursor     *changefeed.Cursor // the events sent so far
-	leaderSent bool               // hasLeader was sent before
-	hasLeader  bool               // as last sent
+	cursor     *changefeed.Cursor // position after the events sent so far
+	leaderSent bool               // hasLeader has been sent
+	hasLeader  bool               // whether there was a leader, as last sent
 }
 
-// Next returns the next message to a director: first whether there is a leader, if that has changed, then events. There is none for
-// a director that has not subscribed, as over a standby link. It implements peer.Publisher.
+// Next returns the next message to a director: first whether there is a leader, if that has changed, then events. It returns no
+// message for a director that has not subscribed, as over a standby link. It implements peer.Publisher.
 func (m *Member) Next(s *peer.Subscriber) (topic string, payload []byte) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,15 +40,15 @@
 	return topicEvents, changefeed.AppendEvents(nil, events)
 }
 
-// Receive handles the subscription message of a director, which is the vector of the events that it has. It ignores other topics,
-// and logs and drops a vector that cannot be decoded. It implements peer.Publisher.
+// Receive handles the subscription of a director, whose payload is the vector of the events that the director has. It ignores other
+// topics, and logs and drops a vector that cannot be decoded. It implements peer.Publisher.
 func (m *Member) Receive(s *peer.Subscriber, topic string, payload []byte) {
 	if topic != topicSubscribe {
 		return
 	}
 	vector, err := changefeed.ParseVector(payload)
 	if err != nil {
-		m.unreadableLog.warn(m.log.WithError(err).WithField("director", s.Name), "a subscription that cannot be read")
+		m.decodeErrorLog.warn(m.log.WithError(err).WithField("director", s.Name), "cannot decode subscription")
 		return
 	}
 	m.mu.Lock()
@@ -57,5 +57,5 @@
 	s.Wake()
 }
 
-// Disconnected does nothing: the state of a director is dropped with its peer.Subscriber. It implements peer.Publisher.
+// Disconnected does nothing: the state of a director is discarded with its peer.Subscriber. It implements peer.Publisher.
 func (m *Member) Disconnected(*peer.Subscriber) {}
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -1,6 +1,6 @@
 package cluster
 
-// The status of one instance, and the answer to a request for it.
+// The status of one instance, and the response to a query for it.
 
 import (
 	"encoding/json"
@@ -12,24 +12,24 @@
 	"indigochute.example/indigochute/internal/peer"
 )
 
-// Status is the status of one instance, as it reports it. The JSON keys must not change.
+// Status is the status of one instance, as reported by that instance. The JSON keys must not change.
 type Status struct {
 	Lease     lease.Status      `json:"duty"`
 	Bus       peer.Status       `json:"peer"`
-	Results   map[string]Result `json:"results"` // of the last run, by job, of the jobs that it has the leases of
-	Runs      int               `json:"runs"`    // that ended, failed ones included
-	Failed    int               `json:"failed"`
-	Hung      int               `json:"hung"` // runs past their deadline whose goroutine has not returned
+	Results   map[string]Result `json:"results"` // results of the last runs of the jobs that it has the leases of, by job
+	Runs      int               `json:"runs"`    // runs that ended, including failed ones
+	Failed    int               `json:"failed"`  // runs that failed
+	Hung      int               `json:"hung"`    // runs past their deadline whose goroutine has not returned
 	Health    HealthCounts      `json:"told"`
 	Others    map[string]string `json:"others"` // addresses of the other instances, by name
-	Truncated bool              `json:"cut"`    // lists were shortened to fit a frame
+	Truncated bool              `json:"cut"`    // the lists were shortened to fit in a frame
 
-	// Of a control machine:
+	// Set by a control machine only:
 	Feed  *FeedStatus `json:"stream,omitempty"`
-	Lists []string    `json:"lists,omitempty"` // control machines with another list of control machines
-	// LeaderlessFor is for how long no majority has followed a leader, as far as this instance knows; 0: one does.
+	Lists []string    `json:"lists,omitempty"` // control machines whose list of control machines differs
+	// LeaderlessFor is how long no majority has followed a leader, as far as this instance knows; 0: a majority follows one.
 	LeaderlessFor time.Duration `json:"without_ns"`
-	// Of a director that follows control machines:
+	// Set by a director that follows control machines only:
 	Follower *FollowerStatus `json:"follower,omitempty"`
 }
 
@@ -65,7 +65,7 @@
 	return status
 }
 
-// addJob adds the counts of a job. Called with the lock of the member held.
+// addJob adds the counts of a job. The caller must hold the lock of the member.
 func (s *Status) addJob(j *job) {
 	s.Runs += j.finished
 	s.Failed += j.failed
@@ -76,7 +76,7 @@
 	}
 }
 
-// answerStatus answers a request for the status, as JSON. It shortens the lists until the answer fits a frame.
+// answerStatus responds to a query for the status, as JSON. It shortens the lists until the response fits in a frame.
 func (m *Member) answerStatus([]byte) ([]byte, error) {
 	status := m.Status()
 	for {
@@ -87,7 +87,8 @@
 	}
 }
 
-// shorten drops the leader's table, the results and half of the owned leases. It returns false if there is nothing left to drop.
+// shorten removes the leader's table, the results and half of the owned leases. It returns false if there is nothing left to
+// remove.
 func (s *Status) shorten() bool {
 	if s.Truncated && len(s.Lease.Owned) == 0 {
 		return false
--- a/internal/cluster/topics.go
+++ b/internal/cluster/topics.go
@@ -8,7 +8,7 @@
 const (
 	topicLease     = "duty"   // between instances: lease.Message; see leaseTopicFor
 	topicHealth    = "news"   // between directors without control machines: lease.HealthReport
-	topicStatus    = "status" // a request for the status
+	topicStatus    = "status" // a query for the status of an instance
 	topicFeed      = "stream" // between control machines: changefeed.Message
 	topicLists     = "lists"  // between control machines: the digest of the list of control machines
 	topicSubscribe = "from"   // from a director: the changefeed.Vector of the events that it has, which subscribes to later ones
@@ -23,7 +23,8 @@
 )
 
 // leaseTopicFor returns the topic of lease messages. Between control machines it contains the hash of their list, so that machines
-// with different lists do not accept each other's messages: majorities of two different lists need not overlap.
+// with different lists do not accept each other's messages. That would be unsafe, as majorities of two different lists need not
+// overlap.
 func leaseTopicFor(file *clusterconfig.File) string {
 	if len(file.Control) == 0 {
 		return topicLease
