--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -90,7 +90,7 @@
 }
 
 // A director rejects an operator file with changes that require a restart, and the error lists the keys.
-func TestFollowerRejectsFixedDifferences(t *testing.T) {
+func TestFollowerRejectsChangesRequiringRestart(t *testing.T) {
 	in := startInstallation(t, 3, 1)
 	for name, test := range map[string]struct{ old, replacement string }{
 		"another name":   {"name: d0,", "name: gone,"},
--- a/internal/clusterconfig/changes.go
+++ b/internal/clusterconfig/changes.go
@@ -1,15 +1,14 @@
 package clusterconfig
 
-// Which changes of an operator file a running machine can apply.
+// Detection of changes to an operator file that a running machine cannot apply.
 
 import "slices"
 
-// FixedDifferences returns the settings that differ between f and other and that the running machine of a name cannot change
-// without a restart. If there are none the machine can go on with the other file. The list of directors, addresses, places and
-// duties may change. The names of members and the times of leases may not: members with different ones could hold a lease at the
-// same time. A director neither votes nor holds leases, so for a director they may change as well.
-//
-// The texts that it returns are shown to users and must not change.
+// FixedDifferences returns the settings that differ between f and other and that the named machine cannot change without a restart.
+// If there are none, a running machine can switch from one file to the other. The list of directors, addresses, places and duties
+// may change. The names of members and the times of leases may not: members with different values could hold the same lease at the
+// same time. A director neither votes nor holds leases, so for a director these may change as well. The returned texts are shown to
+// users.
 func (f *File) FixedDifferences(other *File, name string) (differences []string) {
 	role, otherRole := f.Role(name), other.Role(name)
 	if role != otherRole {
@@ -24,7 +23,7 @@
 	return append(differences, f.memberDifferences(other)...)
 }
 
-// memberDifferences is FixedDifferences, without the role, for a machine that votes and holds leases.
+// memberDifferences returns the differences other than the role for a machine that votes and holds leases.
 func (f *File) memberDifferences(other *File) (differences []string) {
 	if !slices.Equal(f.MemberNames(), other.MemberNames()) {
 		if f.Control != nil || other.Control != nil {
--- a/internal/clusterconfig/check.go
+++ b/internal/clusterconfig/check.go
@@ -1,7 +1,6 @@
 package clusterconfig
 
-// Checks of an operator file that the struct tags of its types cannot express. The texts of faults are shown to users and must not
-// change.
+// Checks of an operator file that the struct tags of its types cannot express. The texts of faults are shown to users.
 
 import (
 	"fmt"
@@ -12,12 +11,12 @@
 
 // Bounds of the file besides those in the struct tags of its types.
 const (
-	maxNameBytes       = 64  // of any name
+	maxNameBytes       = 64  // maximum length of any name
 	maxDrift           = 0.5 // exclusive; as a share of a clock's rate
-	heartbeatsPerLease = 3   // at least, so that one lost heartbeat does not end a lease
+	heartbeatsPerLease = 3   // minimum, so that one lost heartbeat does not end a lease
 
-	// Numbers of control machines. A majority must reach each other, so an even number survives no more losses than the odd one
-	// below it.
+	// Bounds of the number of control machines. A majority of them must reach each other, so an even number tolerates no more
+	// losses than the odd number below it.
 	minControlMachines = 3
 	maxControlMachines = 9
 )
@@ -25,12 +24,12 @@
 // faultFunc reports one fault of the file: its key, what was found there and what is expected.
 type faultFunc func(key, found, expects string)
 
-// quoted returns a value in the quotation marks that faults show it in.
+// quoted returns a value in the quotation marks that faults use.
 func quoted(value string) string { return "«" + value + "»" }
 
-// check reports all faults of a decoded file and sets its defaults. Name is the machine that the file must list; empty: none.
+// check reports all faults of a decoded file and sets its defaults. The file must list the machine name, unless name is empty.
 func (f *File) check(name string, fault faultFunc) {
-	f.checkLists(fault) // first, as defaults hide that a key was left out
+	f.checkLists(fault) // before setDefaults, which hides that a key was omitted
 	f.setDefaults()
 	f.checkNames(name, fault)
 	f.checkPlaces(fault)
@@ -40,13 +39,13 @@
 	f.checkProbe(fault)
 }
 
-// checkLists reports lists that exclude or need each other, and lists with too few or too many entries.
+// checkLists reports lists that exclude or require each other, and lists with too few or too many entries.
 func (f *File) checkLists(fault faultFunc) {
 	switch {
 	case f.Instances == nil && f.Control == nil:
-		fault("instances", "neither instances nor control", "one of them")
+		fault("instances", "neither instances nor control", "one of the two lists")
 	case f.Instances != nil && f.Control != nil:
-		fault("control", "control machines beside instances", "one of both lists")
+		fault("control", "control machines beside instances", "only one of the two lists")
 	case f.Instances != nil && len(f.Instances) == 0:
 		fault("instances", "0 entries", "1 or more")
 	}
@@ -55,37 +54,37 @@
 		return
 	}
 	if n := len(f.Control); !isControlMachineCount(n) {
-		fault("control", fmt.Sprintf("%d machines", n), "3, 5, 7 or 9, as more than half must see each other and an even number stands no "+
-			"more losses than the odd one below it")
+		fault("control", fmt.Sprintf("%d machines", n), "3, 5, 7 or 9, as more than half must reach each other and an even number "+
+			"tolerates no more losses than the odd number below it")
 	}
 	if len(f.Directors) == 0 {
 		fault("directors", "none", fmt.Sprintf("1 to %d that follow the control machines", MaxDirectors))
 	}
 }
 
-// isControlMachineCount reports whether an installation may have so many control machines.
+// isControlMachineCount reports whether an installation may have n control machines.
 func isControlMachineCount(n int) bool {
 	return n >= minControlMachines && n <= maxControlMachines && n%2 != 0
 }
 
-// checkNoControl reports keys that need control machines, in a file without any.
+// checkNoControl reports keys that require control machines, for a file without any.
 func (f *File) checkNoControl(fault faultFunc) {
 	if f.Directors != nil {
-		fault("directors", "directors without control machines", "control, or none of them")
+		fault("directors", "directors without control machines", "a list of control machines, or no directors")
 	}
 	if f.Uplink != (Uplink{}) {
-		fault("uplink", "uplinks without control machines", "control, or the key left out")
+		fault("uplink", "uplinks without control machines", "a list of control machines, or no uplink")
 	}
 }
 
 // nameChecker checks names and addresses across all lists of a file.
 type nameChecker struct {
-	names     map[string]bool // checked so far
-	addresses map[string]bool // checked so far
+	names     map[string]bool // names checked so far
+	addresses map[string]bool // addresses checked so far
 	fault     faultFunc
 }
 
-// checkName reports a name that occurs a second time or is too long.
+// checkName reports a name that occurred before or is too long.
 func (c *nameChecker) checkName(key, name string) {
 	switch {
 	case c.names[name]:
@@ -96,7 +95,7 @@
 	c.names[name] = true
 }
 
-// checkAddress reports an address that is not valid or occurs a second time.
+// checkAddress reports an address that is invalid or occurred before.
 func (c *nameChecker) checkAddress(key, address string) {
 	if _, err := netip.ParseAddrPort(address); err != nil {
 		c.fault(key, quoted(address), "an address with its port, such as 10.0.0.1:7400")
@@ -106,7 +105,7 @@
 	c.addresses[address] = true
 }
 
-// checkNames reports names and addresses that are wrong or not unique, and a file that does not list the machine of a name.
+// checkNames reports names and addresses that are invalid or not unique, and a file that does not list the named machine.
 func (f *File) checkNames(name string, fault faultFunc) {
 	c := &nameChecker{names: map[string]bool{}, addresses: map[string]bool{}, fault: fault}
 	for i, instance := range f.Instances {
@@ -126,16 +125,16 @@
 	switch {
 	case name == "" || c.names[name]:
 	case f.Control != nil:
-		fault("directors", "no control machine or director "+quoted(name), "this director's name among them")
+		fault("directors", "no control machine or director "+quoted(name), "an entry with this machine's name")
 	default:
-		fault("instances", "no instance "+quoted(name), "this director's name among them")
+		fault("instances", "no instance "+quoted(name), "an entry with this machine's name")
 	}
 }
 
 // placeChecker checks that each zone is in one region and each site in one zone.
 type placeChecker struct {
-	zones map[string]parent // regions of the zones so far
-	sites map[string]parent // zones of the sites so far
+	zones map[string]parent // by zone checked so far: its region
+	sites map[string]parent // by site checked so far: its zone
 	fault faultFunc
 }
 
@@ -161,7 +160,7 @@
 	}
 }
 
-// checkParent reports a child, which is a zone or a site, whose parent differs from that in an earlier entry.
+// checkParent reports a zone or a site, the child, whose parent differs from that in an earlier entry.
 func (c *placeChecker) checkParent(known map[string]parent, child string, found parent, parentKey, childKind string) {
 	first, ok := known[child]
 	switch {
@@ -183,7 +182,7 @@
 	}
 }
 
-// checkUplink reports settings of uplinks that are out of their bounds.
+// checkUplink reports settings of uplinks that are out of bounds.
 func (f *File) checkUplink(fault faultFunc) {
 	if rate := f.Uplink.Rate; rate < minUplinkRate || rate > maxUplinkRate {
 		fault("uplink.rate", quoted(rate.String()), minUplinkRate.String()+" to "+maxUplinkRate.String())
@@ -193,7 +192,7 @@
 	}
 }
 
-// checkTimes reports a heartbeat that is too long for the lease, and a drift of clocks that no lease can allow for.
+// checkTimes reports a heartbeat interval that is too long for the lease, and a drift of clocks that is too large for any lease.
 func (f *File) checkTimes(fault faultFunc) {
 	if f.Heartbeat > f.Lease/heartbeatsPerLease {
 		fault("beat", quoted(f.Heartbeat.String()), "a third of the lease of "+f.Lease.String()+" at most")
@@ -206,11 +205,11 @@
 // checkProbe reports a vhost without an object, and an object without a vhost.
 func (f *File) checkProbe(fault faultFunc) {
 	if (f.Probe.Vhost == "") != (f.Probe.Object == "") {
-		fault("probe", "a vhost or an object alone", "both, or none")
+		fault("probe", "a vhost or an object alone", "both or neither")
 	}
 }
 
-// checkDuties reports duties that are wrong or whose names are not unique.
+// checkDuties reports duties that are invalid or whose names are not unique.
 func (f *File) checkDuties(fault faultFunc) {
 	names := map[string]bool{}
 	for i := range f.Duties {
@@ -228,29 +227,29 @@
 		case duty.Kind == KindEvent:
 			f.checkEvent(key, duty, fault)
 		case duty.hasEventSettings():
-			fault(key+"kind", "bytes, life or keep of a duty that is no note", "none of them, or kind: note")
+			fault(key+"kind", "bytes, life or keep with another kind than note", "none of these keys, or kind: note")
 		}
 	}
 }
 
-// hasEventSettings reports whether a key is set that an event job alone may have.
+// hasEventSettings reports whether any key is set that only an event job may have.
 func (d *Duty) hasEventSettings() bool { return d.Bytes != 0 || d.Lifetime != 0 || d.Keep != "" }
 
-// checkAddress reports a call job without a valid address, and an address of any other job.
+// checkAddress reports a call job without a valid address, and any other job with an address.
 func (d *Duty) checkAddress(key string, fault faultFunc) {
 	_, err := netip.ParseAddrPort(d.Address)
 	switch {
 	case d.Kind == KindCall && err != nil:
 		fault(key+"address", quoted(d.Address), "an address with its port")
 	case d.Kind != KindCall && d.Address != "":
-		fault(key+"address", quoted(d.Address), "none, as only a call has one")
+		fault(key+"address", quoted(d.Address), "none, as only a call has an address")
 	}
 }
 
 // checkEvent reports faults of an event job.
 func (f *File) checkEvent(key string, duty *Duty, fault faultFunc) {
 	if f.Control == nil {
-		fault(key+"kind", "a note without control machines", "control, which tell notes")
+		fault(key+"kind", "a note without control machines", "a list of control machines, which publish notes")
 	}
 	if duty.Bytes < minEventBytes || duty.Bytes > maxEventBytes {
 		fault(key+"bytes", quoted(fmt.Sprint(duty.Bytes)), fmt.Sprintf("%d to %d", minEventBytes, maxEventBytes))
--- a/internal/clusterconfig/control.go
+++ b/internal/clusterconfig/control.go
@@ -1,6 +1,6 @@
 package clusterconfig
 
-// The keys of an operator file that only an installation with control machines has, and their bounds.
+// The keys of an operator file that apply only to an installation with control machines, and their bounds.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// MaxDirectors is the most directors that a file may list.
+// MaxDirectors is the maximum number of directors in a file.
 const MaxDirectors = 1024
 
 // Bounds and defaults of Uplink. Rates are in bytes a second.
@@ -23,13 +23,13 @@
 
 // Bounds and defaults of event jobs.
 const (
-	minEventBytes        = 24 // the time, the number of the run and the fencing token, eight bytes each
+	minEventBytes        = 24 // the payload begins with the time, the number of the run and the fencing token, eight bytes each
 	maxEventBytes        = 60000
 	maxEventLifetime     = topology.Duration(24 * time.Hour)
 	defaultEventLifetime = topology.Duration(10 * time.Minute)
 )
 
-// ControlEntry is one control machine. Another machine may take over its name, at another address.
+// ControlEntry is one control machine. A replacement machine may take over its name at another address.
 type ControlEntry struct {
 	Name    string `yaml:"name" validate:"required" jsonschema:"required,description=the name in its configuration"`
 	Address string `yaml:"address" validate:"required" jsonschema:"required,description=where it listens for the other control machines and for directors"`
--- a/internal/clusterconfig/control_test.go
+++ b/internal/clusterconfig/control_test.go
@@ -15,7 +15,7 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// controlList and directorList are the lists of smallFile.
+// controlList and directorList are the two lists of smallFile.
 const (
 	controlList = `control:
   - {name: c1, address: 10.0.1.1:7400, region: south, zone: s1, site: s1a}
@@ -28,14 +28,14 @@
 `
 )
 
-// smallFile is an operator file of three control machines and two directors.
+// smallFile is an operator file with three control machines and two directors.
 const smallFile = controlList + directorList + `uplink: {rate: 20KB/s, spread: 1s}
 duties:
   - {name: check, kind: probe, period: 1s}
   - {name: event, kind: note, period: 1s, bytes: 60, life: 5m, keep: last}
 `
 
-// mustParse parses a file for the machine of a name.
+// mustParse parses a file for the named machine. It fails the test if that is not possible.
 func mustParse(t *testing.T, text, name string) *File {
 	t.Helper()
 	f, err := Parse("control.yaml", []byte(text), name)
@@ -45,8 +45,8 @@
 	return f
 }
 
-// The annotated file of control machines in deploy/, with and without its example of an event job, is parsed, fits the schema and
-// gives package lease a valid configuration. Each region has a control machine and none has a majority of them.
+// The annotated file with control machines in deploy/ can be parsed, matches the schema and yields a valid configuration of package
+// lease, with and without its example of an event job. Each region has a control machine and none has a majority of them.
 func TestDeployedControl(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/control.yaml")
 	if err != nil {
@@ -94,12 +94,12 @@
 	} {
 		invalid := replaceOnce(t, smallFile, test.old, test.new)
 		if schema.Validate(decodeYAML(t, []byte(invalid))) == nil {
-			t.Errorf("a file with %q in place of %q fits the schema", test.new, test.old)
+			t.Errorf("a file with %q in place of %q matches the schema", test.new, test.old)
 		}
 	}
 }
 
-// The schema describes every key of control machines.
+// The schema has a description of every key that only an installation with control machines has.
 func TestSchemaDescribesKeys(t *testing.T) {
 	text, err := Schema()
 	if err != nil {
@@ -130,7 +130,7 @@
 	}
 }
 
-// Regions counts control machines and directors by place, sorted by name. It lists zones and sites with directors only.
+// Regions counts control machines and directors by place, sorted by name. It lists only zones and sites with directors.
 func TestRegions(t *testing.T) {
 	const south, east = "{name: d1, region: south, zone: s1, site: s1a}", "{name: d1, region: east, zone: e1, site: e1a}"
 	f := mustParse(t, replaceOnce(t, smallFile, south, east), "")
@@ -144,7 +144,7 @@
 	}
 }
 
-// Regions has every region, zone and site of a large file, and all its directors.
+// Regions lists every region, zone and site of a large file and counts all its directors.
 func TestRegionsOfLargeFile(t *testing.T) {
 	f := mustParse(t, fileOfDirectors(580), "")
 	zones, sites, directors := 0, 0, 0
@@ -162,7 +162,7 @@
 	}
 }
 
-// LinksPerControlMachine is a mean over the control machines that are left; 0 if they are too few for the links of a director.
+// LinksPerControlMachine returns the mean over the remaining control machines, or 0 if they are too few for the links of a director.
 func TestLinksPerControlMachine(t *testing.T) {
 	f := mustParse(t, fileOfDirectors(580), "") // of nine control machines
 	for _, test := range []struct {
@@ -179,7 +179,7 @@
 	}
 }
 
-// Role tells control machines, directors and instances apart.
+// Role distinguishes control machines, directors, instances and names that the file does not list.
 func TestRole(t *testing.T) {
 	control := mustParse(t, smallFile, "d1")
 	instances := mustParse(t, string(deployedFile(t)), "n1")
@@ -201,7 +201,7 @@
 	}
 }
 
-// The names of each role are sorted. Control machines are the members of a file that has them.
+// The names of each role are sorted. In a file with control machines, those are the members.
 func TestNames(t *testing.T) {
 	control := mustParse(t, smallFile, "d1")
 	instances := mustParse(t, string(deployedFile(t)), "n1")
@@ -222,7 +222,7 @@
 	}
 }
 
-// Address and PeerAddresses answer for control machines and for directors, of which some listen at no address.
+// Address and PeerAddresses return the addresses of control machines and directors. A director may have no address.
 func TestAddresses(t *testing.T) {
 	f := mustParse(t, smallFile, "d1")
 	for name, want := range map[string]string{"c1": "10.0.1.1:7400", "d0": "10.0.0.9:7400", "d1": "", "x": ""} {
@@ -236,7 +236,7 @@
 	}
 }
 
-// Place answers for control machines and directors, and is zero for other names.
+// Place returns the place of control machines and directors, and a zero Place for other names.
 func TestPlace(t *testing.T) {
 	f := mustParse(t, smallFile, "d1")
 	for name, want := range map[string]changefeed.Place{
@@ -250,7 +250,7 @@
 	}
 }
 
-// Optional keys have the values of the file.
+// Optional keys have the values that the file sets.
 func TestOptionalKeys(t *testing.T) {
 	f := mustParse(t, smallFile, "d1")
 	if got, want := f.Uplink, (Uplink{Rate: 20e3, Spread: topology.Duration(time.Second)}); got != want {
@@ -258,14 +258,14 @@
 	}
 	event := f.Duties[1]
 	if event.Bytes != 60 || event.Lifetime.Duration() != 5*time.Minute || event.Keep != KeepLast {
-		t.Errorf("event job: got %+v", event)
+		t.Errorf("event job: got %+v, want 60 bytes, lifetime 5m and keep last", event)
 	}
 	if probe := f.Duties[0]; probe.Keep != "" {
 		t.Errorf("health check job: got keep %q, want none", probe.Keep)
 	}
 }
 
-// Optional keys that the file leaves out have their defaults.
+// Optional keys that the file omits have their defaults.
 func TestDefaults(t *testing.T) {
 	text := replaceOnce(t, smallFile, "uplink: {rate: 20KB/s, spread: 1s}\n", "")
 	text = replaceOnce(t, text, ", life: 5m, keep: last", "")
@@ -279,7 +279,7 @@
 	}
 }
 
-// Every fault of the keys of control machines is reported with its line and key.
+// Every fault in the keys of an installation with control machines is reported with its line and key.
 func TestControlFaults(t *testing.T) {
 	moreControl := func(count int) string {
 		text := controlList
@@ -291,7 +291,7 @@
 	oneControl := "control:\n" + strings.TrimPrefix(moreControl(1), controlList)
 	tooLong := strings.Repeat("ü", 33) // 66 bytes
 	for _, test := range []struct{ old, new, fault string }{
-		{controlList, moreControl(1), "control.yaml:1: control: found 4 machines, expected 3, 5, 7 or 9, as more than half must see each other and an even"},
+		{controlList, moreControl(1), "control.yaml:1: control: found 4 machines, expected 3, 5, 7 or 9, as more than half must reach each other and an even"},
 		{controlList, oneControl, "control.yaml:1: control: found 1 machines, expected 3, 5, 7 or 9"},
 		{controlList, moreControl(8), "control.yaml:1: control: found 11 machines, expected 3, 5"},
 		{controlList, "control: []\n", "control.yaml:1: control: found 0 machines, expected 3, 5, 7 or 9"},
@@ -340,7 +340,7 @@
 	checkFault(t, "control.yaml", smallFile, "d7", "control.yaml:5: directors: found no control machine or director «d7»")
 }
 
-// fileOfDirectors returns a file of nine control machines and so many directors in 39 sites, 18 zones and 7 regions.
+// fileOfDirectors returns a file with nine control machines and the given number of directors, in 39 sites, 18 zones and 7 regions.
 func fileOfDirectors(directors int) string {
 	var text strings.Builder
 	place := func(site int) string {
@@ -358,22 +358,22 @@
 	return text.String()
 }
 
-// A file may list MaxDirectors directors and no more.
+// A file may list MaxDirectors directors, but not more.
 func TestNumberOfDirectors(t *testing.T) {
 	f := mustParse(t, fileOfDirectors(MaxDirectors), "d1023")
 	if got := len(f.Directors); got != MaxDirectors {
 		t.Errorf("got %d directors, want %d", got, MaxDirectors)
 	}
 	if got := f.Role("d1023"); got != Director {
-		t.Errorf("role of the last: got %v, want %v", got, Director)
+		t.Errorf("role of the last director: got %v, want %v", got, Director)
 	}
 	const fault = "control.yaml:11: directors: found 1025 entries, expected 1024 or less"
 	checkFault(t, "control.yaml", fileOfDirectors(MaxDirectors+1), "", fault)
 }
 
-// A running machine can change its list of directors, addresses and duties, but not its role. A control machine cannot change the
-// names of control machines and the times, which a director can.
-func TestFixedDifferences(t *testing.T) {
+// A running machine can apply changes to the list of directors, to addresses and to duties, but not to its role. A director can also
+// apply changes to the names of control machines and to the times, which a control machine cannot.
+func TestChangesRequiringRestart(t *testing.T) {
 	before := mustParse(t, smallFile, "")
 	for _, test := range []struct{ old, new, name, differences string }{
 		{"{name: d1,", "{name: d2,", "c0", ""},
@@ -402,11 +402,11 @@
 	}
 	differences := mustParse(t, string(deployedFile(t)), "").FixedDifferences(before, "d0")
 	if !slices.Contains(differences, "this machine's role") || !slices.Contains(differences, "the names of control machines") {
-		t.Errorf("instances in place of control machines: got differences %q", differences)
+		t.Errorf("instances in place of control machines: got differences %q, want the role and the names of control machines", differences)
 	}
 }
 
-// MembershipHash differs with the names of members, and does not depend on their order, on addresses or on directors.
+// MembershipHash depends on the names of members, but not on their order, on addresses or on directors.
 func TestMembershipHash(t *testing.T) {
 	hash := func(text string) string { return mustParse(t, text, "").MembershipHash() }
 	before := hash(smallFile)
@@ -414,17 +414,17 @@
 		t.Errorf("got %q, want 16 digits", before)
 	}
 	if other := hash(replaceOnce(t, smallFile, "{name: c2,", "{name: c3,")); other == before {
-		t.Error("another name makes no difference")
+		t.Error("the hash did not change with the name of a member")
 	}
 	lines := strings.SplitAfter(smallFile, "\n")
 	lines[1], lines[2] = lines[2], lines[1]
 	same := strings.NewReplacer("10.0.0.2", "10.0.0.5", "name: d1", "name: d2").Replace(strings.Join(lines, ""))
 	if same == smallFile || hash(same) != before {
-		t.Error("order, an address or a director makes a difference")
+		t.Error("the hash changed with the order of members, an address or a director")
 	}
 	longFirst := &File{Control: []ControlEntry{{Name: "a1"}, {Name: "b"}}}
 	shortFirst := &File{Control: []ControlEntry{{Name: "a"}, {Name: "1b"}}}
 	if longFirst.MembershipHash() == shortFirst.MembershipHash() {
-		t.Error("names run into each other")
+		t.Error("got the same hash for names that differ only in where one ends and the next begins")
 	}
 }
--- a/internal/clusterconfig/file.go
+++ b/internal/clusterconfig/file.go
@@ -1,9 +1,9 @@
 // Package clusterconfig reads the operator file of an installation of directors that share duties. A duty is a periodic job that
-// one instance at a time runs under a lease. The file lists the instances, the addresses that they listen at and the duties. For a
-// large installation it lists control machines, which share the duties, and the directors that follow them.
+// one instance at a time runs under a lease. The file lists the instances, the addresses at which they listen, and the duties. For a
+// large installation it lists control machines, which share the duties, and the directors that follow the control machines.
 //
-// The file is strict YAML. Its errors are topology.Faults, with file, line and key. A director that runs on the platform alone
-// reads no such file.
+// The file is strict YAML. Errors in it are reported as topology.Faults, with file, line and key. A director that runs on the
+// platform alone does not read an operator file.
 package clusterconfig
 
 import (
@@ -21,7 +21,7 @@
 	defaultDrift        = topology.Share(0.01)
 	defaultProbeTimeout = topology.Duration(300 * time.Millisecond)
 	defaultConcurrency  = 32 // machines checked at a time
-	defaultClockRate    = 1  // of the host's clock
+	defaultClockRate    = 1  // the rate of the host's clock
 	defaultMissed       = missedCatchUp
 	defaultKeep         = KeepEach
 )
@@ -39,7 +39,7 @@
 	KeepLast = "last" // the event of the last run only
 )
 
-// missedCatchUp is the value of Duty.Missed for a job whose missed run is made up for once an instance has the lease.
+// missedCatchUp is the value of Duty.Missed for a job whose missed run begins as soon as an instance has the lease.
 const missedCatchUp = "catch-up"
 
 // File is the content of an operator file. It must not be changed after it is parsed.
@@ -89,8 +89,8 @@
 	ClockRate float64 `yaml:"clock" validate:"gte=0,lte=2" jsonschema:"description=how fast this instance's clock for duties is made to run; default 1"`
 }
 
-// Read reads the operator file at a path for the machine of a name; see Parse. The error is that of reading the file, or that of
-// Parse.
+// Read reads the operator file at a path for the named machine; see Parse. It returns an error if the file cannot be read or if Parse
+// fails.
 func Read(path, name string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return Parse(path, raw, name)
 }
 
-// Parse parses an operator file for the machine of a name, which the file must list. With an empty name it parses the file for no
-// machine in particular. The error is a topology.Faults with all faults of the file; the path is only used in its texts.
+// Parse parses an operator file for the named machine, which the file must list. With an empty name it parses the file for no
+// particular machine. The error is a topology.Faults with all faults of the file; path is used only in its texts.
 func Parse(path string, raw []byte, name string) (*File, error) {
 	f := &File{}
 	check := func(fault func(key, found, expects string)) { f.check(name, fault) }
@@ -111,7 +111,7 @@
 	return f, nil
 }
 
-// setDefaults sets the optional keys that the file leaves out. Calls after the first have no effect.
+// setDefaults sets the defaults of optional keys that the file omits. Calls after the first have no effect.
 func (f *File) setDefaults() {
 	f.Lease = cmp.Or(f.Lease, defaultLease)
 	f.Heartbeat = cmp.Or(f.Heartbeat, defaultHeartbeat)
@@ -126,7 +126,7 @@
 	}
 }
 
-// setDefaults sets the optional keys of a duty.
+// setDefaults sets the defaults of the optional keys of a duty that the file omits.
 func (d *Duty) setDefaults() {
 	d.Timeout = cmp.Or(d.Timeout, d.Period/2)
 	d.Missed = cmp.Or(d.Missed, defaultMissed)
@@ -138,5 +138,5 @@
 
 // Schema returns the JSON Schema of an operator file.
 func Schema() ([]byte, error) {
-	return topology.SchemaOf(&File{}, "The directors of an installation of indigochute that talk with each other")
+	return topology.SchemaOf(&File{}, "Operator file of an indigochute installation whose directors share duties")
 }
--- a/internal/clusterconfig/file_test.go
+++ b/internal/clusterconfig/file_test.go
@@ -13,7 +13,7 @@
 	"indigochute.example/indigochute/internal/lease"
 )
 
-// deployedFile returns the annotated file of instances in deploy/.
+// deployedFile returns the annotated operator file with instances in deploy/.
 func deployedFile(t *testing.T) []byte {
 	t.Helper()
 	raw, err := os.ReadFile("../../deploy/operator.yaml")
@@ -23,7 +23,7 @@
 	return raw
 }
 
-// leaseConfig returns the configuration of package lease that a file gives the machine of a name.
+// leaseConfig returns the configuration of package lease for the named machine of a file.
 func leaseConfig(f *File, name string) lease.Config {
 	return lease.Config{
 		Name:      name,
@@ -35,7 +35,7 @@
 	}
 }
 
-// The annotated file in deploy/ is parsed, fits the schema and gives package lease a valid configuration.
+// The annotated file in deploy/ can be parsed, matches the schema and yields a valid configuration of package lease.
 func TestDeployedFile(t *testing.T) {
 	raw := deployedFile(t)
 	f, err := Parse("operator.yaml", raw, "n1")
@@ -55,15 +55,15 @@
 	checkSchema(t, raw)
 }
 
-// checkSchema fails the test if a file does not fit the schema.
+// checkSchema fails the test if a file does not match the schema.
 func checkSchema(t *testing.T, raw []byte) {
 	t.Helper()
 	if err := compiledSchema(t).Validate(decodeYAML(t, raw)); err != nil {
-		t.Errorf("the file does not fit the schema: %v", err)
+		t.Errorf("the file does not match the schema: %v", err)
 	}
 }
 
-// compiledSchema returns the schema of an operator file, ready to validate values.
+// compiledSchema returns the compiled schema of an operator file.
 func compiledSchema(t *testing.T) *jsonschema.Schema {
 	t.Helper()
 	text, err := Schema()
@@ -83,7 +83,7 @@
 	return compiled
 }
 
-// decodeYAML decodes a file into the values that a schema validates.
+// decodeYAML decodes a file into values that a schema can validate.
 func decodeYAML(t *testing.T, raw []byte) (value any) {
 	t.Helper()
 	asJSON, err := yaml.YAMLToJSON(raw)
@@ -96,7 +96,7 @@
 	return value
 }
 
-// replaceOnce replaces the first occurrence of a text. It fails the test if there is none.
+// replaceOnce replaces the first occurrence of old. It fails the test if there is none.
 func replaceOnce(t *testing.T, text, old, new string) string {
 	t.Helper()
 	changed := strings.Replace(text, old, new, 1)
@@ -106,16 +106,16 @@
 	return changed
 }
 
-// checkFault parses a file for the machine of a name. It fails the test unless the error begins with the path and contains the fault.
+// checkFault parses a file for the named machine. It fails the test unless the error begins with the path and contains the fault.
 func checkFault(t *testing.T, path, text, name, fault string) {
 	t.Helper()
 	_, err := Parse(path, []byte(text), name)
 	if err == nil || !strings.Contains(err.Error(), fault) || !strings.HasPrefix(err.Error(), path+":") {
-		t.Errorf("got error %v\nwant one of %s: with %q", err, path, fault)
+		t.Errorf("got error %v\nwant an error that begins with %s: and contains %q", err, path, fault)
 	}
 }
 
-// Every fault is reported with its key and what was found there.
+// Every fault is reported with its key and the value that was found there.
 func TestFaults(t *testing.T) {
 	raw := string(deployedFile(t))
 	for _, test := range []struct{ old, new, fault string }{
@@ -138,7 +138,7 @@
 	}
 }
 
-// All faults of a file are reported at once, one a line.
+// All faults of a file are reported together, one per line.
 func TestAllFaultsAtOnce(t *testing.T) {
 	raw := string(deployedFile(t))
 	withTwoFaults := replaceOnce(t, replaceOnce(t, raw, "drift: 1%", "drift: 60%"), "name: n1", "name: n0")
--- a/internal/clusterconfig/lookup.go
+++ b/internal/clusterconfig/lookup.go
@@ -16,19 +16,19 @@
 
 // Roles of machines.
 const (
-	Unknown        Role = iota // not listed in the file
+	Unknown        Role = iota // the file does not list the machine
 	Member                     // an instance: a director that votes and shares the duties
 	ControlMachine             // votes, shares the duties and publishes the change feed
 	Director                   // follows the control machines
 )
 
-// roleNames has the roles as String returns them.
+// roleNames has the names of the roles, as returned by String.
 var roleNames = [...]string{Unknown: "unknown", Member: "member", ControlMachine: "control machine", Director: "director"}
 
 // String returns the name of the role.
 func (r Role) String() string { return roleNames[r] }
 
-// Role returns the role of the machine of a name; Unknown: the file does not list it.
+// Role returns the role of the named machine, or Unknown if the file does not list it.
 func (f *File) Role(name string) Role {
 	switch {
 	case slices.ContainsFunc(f.Instances, func(i Instance) bool { return i.Name == name }):
@@ -41,13 +41,13 @@
 	return Unknown
 }
 
-// Place returns the place of the control machine or director of a name. It is zero for any other name.
+// Place returns the place of the named control machine or director, or a zero Place if there is none with that name.
 func (f *File) Place(name string) changefeed.Place {
 	return f.machineNamed(name).place()
 }
 
-// Address returns the address that the machine of a name listens at. It is empty if the file does not list the name, or if the
-// machine is a director that does not listen.
+// Address returns the address at which the named machine listens. It is empty if the file does not list the name, or if the machine
+// is a director that does not listen.
 func (f *File) Address(name string) string {
 	for _, instance := range f.Instances {
 		if instance.Name == name {
@@ -57,7 +57,7 @@
 	return f.machineNamed(name).Address
 }
 
-// machineNamed returns the control machine or director of a name. It is zero for any other name.
+// machineNamed returns the entry of the named control machine or director, or a zero entry if there is none with that name.
 func (f *File) machineNamed(name string) ControlEntry {
 	for _, control := range f.Control {
 		if control.Name == name {
@@ -106,7 +106,7 @@
 	return names
 }
 
-// PeerAddresses returns the addresses of the machines that share the duties, by name, without the machine of the given name.
+// PeerAddresses returns the addresses of the machines that share the duties, by name, except for the named machine.
 func (f *File) PeerAddresses(name string) map[string]string {
 	addresses := map[string]string{}
 	for _, instance := range f.Instances {
@@ -133,12 +133,12 @@
 	return duties
 }
 
-// MembershipHash returns a hash of MemberNames as 16 hexadecimal digits. Machines compare it, as machines with different lists must
-// not vote with each other: majorities of two different lists need not overlap.
+// MembershipHash returns a hash of MemberNames as 16 hexadecimal digits. Machines compare their hashes, as machines with different
+// lists must not vote together: majorities of two different lists need not overlap.
 func (f *File) MembershipHash() string {
 	hash := fnv.New64a()
 	for _, name := range f.MemberNames() {
-		fmt.Fprintf(hash, "%d:%s", len(name), name) // the length keeps "a1", "b" apart from "a", "1b"
+		fmt.Fprintf(hash, "%d:%s", len(name), name) // the length distinguishes "a1", "b" from "a", "1b"
 	}
 	return fmt.Sprintf("%016x", hash.Sum64())
 }
--- a/internal/clusterconfig/parse_bench_test.go
+++ b/internal/clusterconfig/parse_bench_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// processMemory returns the memory that the runtime holds from the operating system, in bytes.
+// processMemory returns the memory that the runtime has obtained from the operating system and not released, in bytes.
 func processMemory() uint64 {
 	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
 	metrics.Read(samples)
@@ -48,7 +48,7 @@
 // sample takes one sample.
 func (s *memorySampler) sample() { s.highest.Store(max(s.highest.Load(), processMemory())) }
 
-// stop takes a last sample and returns by how many bytes the memory was above that at the start, at most.
+// stop takes a last sample and returns the largest number of bytes by which the memory exceeded that at the start.
 func (s *memorySampler) stop() (peak uint64) {
 	close(s.ending)
 	<-s.done
@@ -57,14 +57,15 @@
 	return highest - min(s.before, highest)
 }
 
-// grown returns by how many bytes the memory is above that at the start now, after a garbage collection.
+// grown returns the number of bytes by which the memory exceeds that at the start, after a garbage collection.
 func (s *memorySampler) grown() uint64 {
 	debug.FreeOSMemory()
 	return processMemory() - min(s.before, processMemory())
 }
 
-// BenchmarkParse parses files of nine control machines by number of directors. peak-MB is the largest growth of the process's
-// memory during a call, over all calls. kept-MB is the largest growth that is left after it, which is the size of the file.
+// BenchmarkParse parses files with nine control machines by the number of directors. peak-MB is the largest growth of the process's
+// memory during a call, over all calls. kept-MB is the largest growth that remains after a call, which is the size of the parsed
+// file.
 func BenchmarkParse(b *testing.B) {
 	for _, directors := range []int{20, 145, 290, 580} {
 		b.Run(fmt.Sprint(directors), func(b *testing.B) {
--- a/internal/clusterconfig/regions.go
+++ b/internal/clusterconfig/regions.go
@@ -1,6 +1,6 @@
 package clusterconfig
 
-// Numbers of control machines and directors by place, which the command line's check of an operator file prints.
+// Numbers of control machines and directors by place, which the check command prints for an operator file.
 
 import (
 	"cmp"
@@ -10,15 +10,15 @@
 // Region has the numbers of control machines and directors in one region.
 type Region struct {
 	Name               string
-	Control, Directors int
-	Zones              []Zone // those with directors, sorted by name
+	Control, Directors int    // numbers of control machines and of directors
+	Zones              []Zone // zones with directors, sorted by name
 }
 
 // Zone has the number of directors in one zone.
 type Zone struct {
 	Name      string
 	Directors int
-	Sites     []Site // those with directors, sorted by name
+	Sites     []Site // sites with directors, sorted by name
 }
 
 // Site has the number of directors in one site.
@@ -46,8 +46,8 @@
 	return regions
 }
 
-// entryNamed returns the entry of a name in a list that is sorted by name. It inserts the entry if there is none. The pointer is
-// valid until the next insertion.
+// entryNamed returns the entry with a name in a list that is sorted by name. If there is none it inserts one. The pointer is valid
+// until the next insertion.
 func entryNamed[T any](list *[]T, name string, nameOf func(*T) *string) *T {
 	compare := func(entry T, name string) int { return cmp.Compare(*nameOf(&entry), name) }
 	i, found := slices.BinarySearchFunc(*list, name, compare)
@@ -59,11 +59,11 @@
 	return &(*list)[i]
 }
 
-// linksPerDirector is how many links to control machines each director has.
+// linksPerDirector is the number of links to control machines that each director has.
 const linksPerDirector = 2
 
-// LinksPerControlMachine returns the mean number of links of directors to one control machine after so many control machines are
-// lost. It is 0 if fewer are left than a director has links.
+// LinksPerControlMachine returns the mean number of links of directors to one control machine after the given number of control
+// machines is lost. It returns 0 if fewer control machines are left than a director has links.
 func (f *File) LinksPerControlMachine(lost int) float64 {
 	left := len(f.Control) - lost
 	if left < linksPerDirector {
