--- a/internal/routing/api.go
+++ b/internal/routing/api.go
@@ -1,40 +1,42 @@
 package routing
 
-// The interface of the package: the events that the caller reports to a Director, and the actions that a Director orders.
+// This file declares the interface of the package: the events that the caller reports to a Director and the actions that a
+// Director requests.
 
 import "time"
 
-// Executor carries out the decisions of a Director. The caller implements it for the protocol that it speaks. Each method acts
-// at once and must not call the Director back. Ids of requests and endpoints are the ones that the caller handed in.
+// Executor carries out the decisions of a Director. The caller implements it for its protocol. Each method takes effect
+// immediately and must not call the Director. Request and endpoint ids are those that the caller passed to the Director.
 type Executor interface {
-	// StartAttempt sends a request as the order says. The attempts of a request are numbered from 0.
+	// StartAttempt sends a request as described by order. The attempts of a request are numbered from 0.
 	StartAttempt(request uint32, order AttemptOrder)
-	// CancelAttempt withdraws an attempt. The caller still reports the attempt's outcome.
+	// CancelAttempt cancels an attempt. The caller still reports the outcome of the attempt.
 	CancelAttempt(request uint32, attempt int)
-	// Reject answers a request that was not executed or that the client may repeat. A retryAfter of 0 means none.
+	// Reject rejects a request that was not executed or that the client may safely repeat. A retryAfter of 0 means no
+	// Retry-After.
 	Reject(request uint32, retryAfter time.Duration)
-	// Fail answers a request that may have been executed and must not be repeated.
+	// Fail fails a request that may have been executed and must not be repeated.
 	Fail(request uint32)
-	// SetTimer has the caller call HandleTimer with the token after wait.
+	// SetTimer schedules a call of HandleTimer with token after wait.
 	SetTimer(wait time.Duration, token uint32)
-	// CheckHealth asks an endpoint whether it runs. The caller reports the result to HandleHealthCheck.
+	// CheckHealth starts a health check of an endpoint. The caller reports the result through HandleHealthCheck.
 	CheckHealth(node uint32)
 }
 
-// AttemptOrder describes one attempt, and what the cache does on a miss.
+// AttemptOrder describes one attempt and how the cache handles a miss.
 type AttemptOrder struct {
-	Node          uint32        // endpoint that the attempt goes to
-	Source        uint32        // upstream that a miss is filled from; the same as Node: the miss is not filled
-	Timeout       time.Duration // 0: until the deadline of the request
-	StartBefore   time.Duration // time since the director's start from which the attempt must not begin any more; 0: no bound
-	MaxAge        time.Duration // age of the oldest copy that may be served; 0: the fresh time of the class
-	CachePriority uint8         // 0: the cache keeps nothing; 1 to 3: the higher, the longer it keeps the copy
+	Node          uint32        // endpoint that receives the attempt
+	Source        uint32        // upstream that fills a miss; equal to Node if a miss must not be filled
+	Timeout       time.Duration // 0: until the request deadline
+	StartBefore   time.Duration // the attempt must begin before this time, measured from the director's start; 0: no limit
+	MaxAge        time.Duration // maximum age of a served copy; 0: FreshFor of the class
+	CachePriority uint8         // 0: the cache must not store the answer; 1 to 3: a higher priority is evicted later
 	OnlyIfCached  bool          // the source serves only what it has cached
-	Revalidate    bool          // the cache serves an ageing copy and renews it in the background
-	CollapseFills bool          // the cache waits for a fill of the same document that is in progress there
+	Revalidate    bool          // the cache serves an ageing copy and revalidates it in the background
+	CollapseFills bool          // the cache waits for its own fill of the same document if one is in progress
 }
 
-// Request is a client's request as it arrives.
+// Request describes a client request on arrival.
 type Request struct {
 	ID       uint32
 	Object   uint64
@@ -43,24 +45,24 @@
 	Class    int           // index in Settings.Classes
 	SizeKB   float64       // size of the answer in KB; 0: unknown
 	Deadline time.Duration // time since the director's start
-	Unproven bool          // no request of this client was served yet, so a cache's failure may be the fault of the request
+	Unproven bool          // no request of this client has been served yet, so the request itself may be the cause of a failure
 }
 
-// Result is how an attempt ended.
+// Result states how an attempt ended.
 type Result uint8
 
 const (
-	Served        Result = iota // the client has its answer
+	Served        Result = iota // the client received the answer
 	Failed                      // the endpoint answered with an error; the request may have been executed
 	Rejected                    // the request was shed: never executed
 	TimedOut                    // no answer within the timeout; the request may have been executed
-	ConnectFailed               // no connection came up: refused, unreachable or too late; never executed
-	NotSent                     // the connection broke before the attempt was sent completely: never executed, little evidence on the endpoint
+	ConnectFailed               // no connection was established (refused, unreachable or timed out): never executed
+	NotSent                     // the connection broke before the attempt was sent completely: never executed, weak evidence of a fault
 	Reset                       // the connection broke after the attempt was sent; the request may have been executed
 	Cancelled                   // the attempt was cancelled; the request may have been executed
 	Obsolete                    // the request was already finished: never executed
-	NotCached                   // the endpoint has no copy that may be served and was not to fill one: never executed
-	LocalError                  // the director's own host could not send it: never executed, no evidence on the endpoint
+	NotCached                   // the endpoint has no usable copy and was not allowed to fill one: never executed
+	LocalError                  // the director's own host could not send it: never executed, says nothing about the endpoint's health
 )
 
 // neverExecuted reports whether the result proves that the attempt was not executed.
@@ -72,7 +74,7 @@
 	return false
 }
 
-// Fill is the cache status of an answer, as far as the site reports it.
+// Fill is the cache status of an answer, as reported by the site.
 type Fill uint8
 
 const (
@@ -84,24 +86,24 @@
 	ServedStale                   // served from a stale copy
 	SourceRejected                // the source rejected the fill
 	SourceUnreachable             // the source could not be reached
-	SourceMiss                    // the source had nothing cached and was not to fill it
+	SourceMiss                    // the source had no cached copy and was not allowed to fill one
 	FillsFull                     // the cache has too many fills in flight
 	OriginFailed                  // the origin behind the source failed
 )
 
-// sourceFailed reports whether the source, or what lies behind it, failed.
+// sourceFailed reports whether the source or the origin behind it failed.
 func (fill Fill) sourceFailed() bool {
 	return fill == SourceRejected || fill == SourceUnreachable || fill == OriginFailed
 }
 
-// Outcome is the end of one attempt.
+// Outcome describes the end of one attempt.
 type Outcome struct {
 	Attempt         int // number of the attempt within its request
 	Result          Result
 	Duration        time.Duration // from the start of the attempt to its end
-	SourceWait      time.Duration // until the source's first byte or failure; 0: unknown
-	SendTime        time.Duration // time that sending the answer alone takes, computed from its bytes; 0: unknown
+	SourceWait      time.Duration // time until the first byte from the source, or until its failure; 0: unknown
+	SendTime        time.Duration // time to send the answer, computed from its size; 0: unknown
 	Fill            Fill
-	Final           bool // the request is finished, by this attempt or before it
-	DirectorStalled bool // the director itself was stalled during the attempt: the times are no evidence
+	Final           bool // the request finished with this attempt or earlier
+	DirectorStalled bool // the director itself was stalled during the attempt, so the durations must not be used
 }
--- a/internal/routing/attempt.go
+++ b/internal/routing/attempt.go
@@ -1,9 +1,9 @@
 package routing
 
-// Attempts: what is counted for each attempt from its start to its end.
+// Attempts: the counters that change when an attempt starts and ends.
 //
-// The counts of attempts in flight and the slow start tokens, by which other files decide, change here; this file decides
-// nothing itself. It acts at the start and at the end of each attempt.
+// This file maintains the number of attempts in flight and the slow start tokens. Other files base their decisions on them;
+// this file makes no decisions itself.
 
 import (
 	"math"
@@ -12,28 +12,28 @@
 )
 
 const (
-	minFillProbability   = 0.5 // least fill probability that is counted for an attempt that may fill
-	fillProbabilitySteps = 16  // fill probabilities are counted in sixteenths, so that sums of them are exact
+	minFillProbability   = 0.5 // minimum fill probability counted for an attempt that may fill
+	fillProbabilitySteps = 16  // fill probabilities are multiples of 1/16, so that their sums are exact
 )
 
-// attempt is one try to have a request served.
+// attempt is one attempt to serve a request.
 type attempt struct {
 	request              *openRequest
 	number               int // within its request, from 0
 	endpoint             *endpoint
-	source               *endpoint // who fills a miss; the endpoint itself: a miss is not filled
+	source               *endpoint // endpoint that fills a miss; equal to endpoint if a miss is not filled
 	startedAt, overdueAt time.Duration
-	hitExpected          bool    // the cache probably has the document, or serves only what it has
-	fillProbability      float64 // how probably the attempt fills; 0 where a hit is expected
+	hitExpected          bool    // the cache probably has the document, or may serve only a cached copy
+	fillProbability      float64 // probability that the attempt causes a fill; 0 if a hit is expected
 	isOverdue, finished  bool
 	chargedWork          float64 // slow start tokens taken at its endpoint, in seconds of sending time
-	chargedSourceWork    float64 // slow start tokens taken at its source, likewise
-	failedLocally        bool    // a local error kept it from being sent
-	onlyIfCached         bool    // the source serves only what it has cached
-	answerLost           bool    // it failed through no fault of its endpoint: the answer was lost on the way, or its source failed
+	chargedSourceWork    float64 // slow start tokens taken at its source, in seconds of sending time
+	failedLocally        bool    // not sent because of a local error
+	onlyIfCached         bool    // the source may serve only a cached copy
+	endpointNotAtFault   bool    // it failed for a reason other than its endpoint: the answer was lost in transit, or the source failed
 }
 
-// startAttempt counts an attempt and has the executor send it. Every attempt passes through here.
+// startAttempt counts an attempt and passes it to the executor. Every attempt is started by this function.
 func (d *Director) startAttempt(now time.Duration, next *attempt, order AttemptOrder) {
 	request := next.request
 	request.attempts = append(request.attempts, next)
@@ -68,13 +68,13 @@
 	}
 }
 
-// countedFillProbability returns the fill probability of the link, rounded up to a step and bounded from below.
+// countedFillProbability returns the fill probability of the link, rounded up to a step, but at least minFillProbability.
 func (link *fillLink) countedFillProbability() float64 {
 	steps := math.Ceil(fillProbabilitySteps * float64(link.fillProbability))
 	return max(minFillProbability, steps/fillProbabilitySteps)
 }
 
-// finishAttempt takes back what is counted of an attempt while it is in flight.
+// finishAttempt removes an attempt from the counters of attempts in flight.
 func (d *Director) finishAttempt(ended *attempt) {
 	ended.finished = true
 	ended.request.openAttempts--
@@ -86,22 +86,22 @@
 	}
 }
 
-// undoAttempt takes back what an attempt that was never sent left at its endpoint and its source. The director's own host is at
-// fault, so neither the end of the attempt nor the wait until then is evidence on them. Guards against endpoints that are
-// ejected, put into slow start or sent less because this host lacks sockets, ports, memory or a route.
+// undoAttempt reverts the effects of an attempt that was never sent on its endpoint and its source. The fault lies with the
+// director's own host, so neither the end of the attempt nor its duration says anything about them. Guards against ejecting an
+// endpoint, putting it into slow start or sending it less because this host lacks sockets, ports, memory or a route.
 func (d *Director) undoAttempt(ended *attempt) {
 	ended.failedLocally = true
-	ended.undoAt(ended.endpoint, ended.chargedWork)
+	ended.undoChargesAt(ended.endpoint, ended.chargedWork)
 	if ended.source != ended.endpoint {
-		ended.undoAt(ended.source, ended.chargedSourceWork)
+		ended.undoChargesAt(ended.source, ended.chargedSourceWork)
 	}
 }
 
-// undoAt refunds the slow start tokens that an attempt took at an endpoint. It also takes back that the attempt was overdue
-// there, unless a sign of life came since.
-func (attempt *attempt) undoAt(charged *endpoint, tokens float64) {
+// undoChargesAt refunds the slow start tokens that an attempt took at an endpoint. It also reverts the overdue count of the
+// attempt, unless the endpoint has answered since.
+func (attempt *attempt) undoChargesAt(charged *endpoint, tokens float64) {
 	charged.refund(tokens)
 	if attempt.isOverdue {
-		charged.forgiveOverdue(attempt.overdueAt)
+		charged.revertOverdue(attempt.overdueAt)
 	}
 }
--- a/internal/routing/average.go
+++ b/internal/routing/average.go
@@ -1,20 +1,20 @@
 package routing
 
-// Moving averages: what a Director learns from samples that come one by one. The newest sample counts most.
+// Moving averages of samples that arrive one at a time. The newest sample has the largest weight.
 
 import "time"
 
-// movingAverage is an exponentially weighted moving average. Where the samples are events that happened (1) or did not (0), it
-// is the share that happened. The two methods differ only in rounding, which must stay as it is: decisions are replayed to the
-// last bit.
+// movingAverage is an exponentially weighted moving average. If the samples are events that happened (1) or did not happen (0),
+// it is the share of events that happened. The two methods differ only in rounding. The rounding must not change, because
+// decisions are replayed bit for bit.
 type movingAverage float64
 
-// observe takes one sample into the average, with a weight from 0 to 1.
+// observe adds one sample to the average, with a weight from 0 to 1.
 func (average *movingAverage) observe(sample, weight float64) {
 	*average += movingAverage((sample - float64(*average)) * weight)
 }
 
-// observeEvent takes an event that happened or did not into the average, with a weight from 0 to 1. It fades what was there,
+// observeEvent adds one event that happened or did not happen, with a weight from 0 to 1. It first scales down the average,
 // then adds the event.
 func (average *movingAverage) observeEvent(happened bool, weight float64) {
 	*average -= *average * movingAverage(weight)
@@ -23,7 +23,7 @@
 	}
 }
 
-// smoothed returns an exponentially weighted moving average of durations after one more sample.
+// smoothed returns an exponentially weighted moving average of durations, updated with one more sample.
 func smoothed(average, sample time.Duration, weight float64) time.Duration {
 	return average + time.Duration(float64(sample-average)*weight)
 }
--- a/internal/routing/average_test.go
+++ b/internal/routing/average_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestMovingAveragesRoundAsEver compares moving averages over many random samples, to the last bit, with the steps as they
-// are written out: decisions are replayed with them.
-func TestMovingAveragesRoundAsEver(t *testing.T) {
+// TestMovingAverageRounding compares the moving averages over many random samples, bit for bit, with the arithmetic written
+// out. Any change of rounding would change replayed decisions.
+func TestMovingAverageRounding(t *testing.T) {
 	type averages struct {
-		samples     float64       // by observe
-		events      float64       // by observe with 1 and 0
-		eventsAdded float64       // by observeEvent
-		duration    time.Duration // by smoothed
+		samples     float64       // updated by observe
+		events      float64       // updated by observe with 1 and 0
+		eventsAdded float64       // updated by observeEvent
+		duration    time.Duration // updated by smoothed
 	}
 	random := rand.New(rand.NewSource(11))
 	var samples, events, eventsAdded movingAverage
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkRequest is a request from its arrival to its answer, with the period's share of diffusion, at 100 requests a second,
-// each for a segment not requested before, whose endpoints have to be ranked.
+// BenchmarkRequest measures a request from its arrival to its answer, including the proportional cost of diffusion, at 100
+// requests per second. Each request is for a new segment, so the endpoints must be ranked.
 func BenchmarkRequest(b *testing.B) {
 	for _, directors := range []int{1, 20, 300} {
 		for _, caches := range []int{4, 200} {
--- a/internal/routing/diffusion.go
+++ b/internal/routing/diffusion.go
@@ -1,9 +1,9 @@
 package routing
 
-// Diffusion: how the load of hot documents spreads from their home to the location's other caches (WebWave).
+// Diffusion: how the load of hot documents is spread from their home to the location's other caches (WebWave).
 //
-// It decides the share of each hot document's requests that goes to each cache. It acts once a period. It guards against one
-// cache being overloaded by a hot object while its peers are idle.
+// It decides the share of each hot document's requests that each cache receives. It runs once per period. It guards against a
+// hot object that overloads one cache while its peers are idle.
 
 import (
 	"math"
@@ -12,24 +12,24 @@
 )
 
 const (
-	diffusionPeriod = 500 * time.Millisecond // so long that each cache has some requests within a period
-	loadBucketWidth = 500 * time.Millisecond // load is counted over loadBuckets buckets of this width: long against
-	loadBuckets     = 4                      // single requests, short against the time for which an object is hot
-	hotRequestShare = 0.04                   // a document is hot above this share of the director's requests,
-	minHotRequests  = 4                      // and above this number of requests, as fewer may come from one client
-	noiseDeviations = 2                      // standard deviations of the counts that a load gap must exceed to shift load
-	minSpread       = 0.5                    // least share of a hot document outside its home, whatever the gap: so two caches carry it alike
-	minSpreadShare  = 0.01                   // a smaller share of one cache goes back to the home
+	diffusionPeriod = 500 * time.Millisecond // long enough for each cache to get some requests within a period
+	loadBucketWidth = 500 * time.Millisecond // load is counted over loadBuckets buckets of this width: long compared with
+	loadBuckets     = 4                      // single requests, short compared with the time for which an object stays hot
+	hotRequestShare = 0.04                   // a document is hot if it has more than this share of the director's requests
+	minHotRequests  = 4                      // and more than this number of requests, because fewer may come from a single client
+	noiseDeviations = 2                      // load is shifted only if the gap exceeds this many standard deviations of the counts
+	minSpread       = 0.5                    // minimum share of a hot document outside its home, so that two caches share its load equally
+	minSpreadShare  = 0.01                   // a smaller share of one cache returns to the home
 )
 
 // HotWindow is the time over which requests are counted for IsHot.
 const HotWindow = 2 * loadBuckets * loadBucketWidth
 
-// MinSpread is the least share of a hot document's requests that goes to caches other than its home, whatever their loads.
+// MinSpread is the minimum share of a hot document's requests that goes to caches other than its home, regardless of load.
 const MinSpread = minSpread
 
-// IsHot reports whether a document is hot and so served by at least two caches. It takes the requests for the document and all
-// requests, both counted by one director within HotWindow.
+// IsHot reports whether a document is hot and is therefore served by at least two caches. The arguments are the requests for
+// the document and all requests, both counted by one director within HotWindow.
 func IsHot(requests, total float64) bool {
 	return requests > max(minHotRequests, hotRequestShare*total)
 }
@@ -40,8 +40,8 @@
 	fraction float64 // 0 to 1
 }
 
-// diffuse ends a period: it drops idle records, renews the warm rates, and shifts hot load between each home and the location's
-// other caches by the gaps between their loads.
+// diffuse runs the work of one period: it drops idle records, updates the warm rates, and shifts the load of hot documents
+// between each home and the location's other caches according to the difference of their loads.
 func (d *Director) diffuse(now time.Duration) {
 	d.expireObjects(now)
 	d.measureWarmRates(now)
@@ -59,8 +59,8 @@
 	}
 }
 
-// hotDocuments returns the hot documents in the order of the object table. A document that has just become hot gets minSpread
-// at the second cache of its order. A document that is not hot loses its shares.
+// hotDocuments returns the hot documents in the order of the object table. A document that has just become hot gets a share of
+// minSpread at the second cache of its preference order. A document that is not hot loses its shares.
 func (d *Director) hotDocuments(now time.Duration) (hot []*document) {
 	total := d.requestRing.Sum(now)
 	for doc := range d.allDocuments() {
@@ -86,9 +86,10 @@
 	return atHome
 }
 
-// balance shifts a part of one home's hot documents to another cache, or back, where their loads differ by more than chance.
+// balance shifts part of the load of a home's hot documents to another cache, or back, if their loads differ by more than
+// random variation.
 func (d *Director) balance(now time.Duration, home, other *endpoint, hot []*document) {
-	atHome, atOther := 0.0, 0.0 // requests a second for the hot documents
+	atHome, atOther := 0.0, 0.0 // requests per second for the hot documents
 	for _, doc := range hot {
 		rate := doc.requests.Rate(now)
 		atHome += rate * (1 - doc.spreadAt(nil))
@@ -107,8 +108,9 @@
 	}
 }
 
-// loadGap returns how many requests a second should move from home to other; a negative number moves back. It is the
-// difference of their loads relative to their capacities, less noiseDeviations, times WebWave's alpha.
+// loadGap returns how many requests per second should move from home to other. A negative number means that they should move
+// back. It is the difference of the loads relative to the capacities, reduced by noiseDeviations standard deviations and
+// multiplied by WebWave's alpha.
 func (d *Director) loadGap(now time.Duration, home, other *endpoint) float64 {
 	alpha := 1 / float64(1+len(d.caches))
 	both := 2 * home.capacity * other.capacity / (home.capacity + other.capacity)
@@ -118,7 +120,7 @@
 	return alpha * math.Copysign(max(0, math.Abs(gap)-noiseDeviations*noise), gap)
 }
 
-// spreadAt returns the share of one cache other than the home. Where cache is nil, it returns the sum of all such shares.
+// spreadAt returns the share of one cache other than the home. If cache is nil, it returns the sum of all such shares.
 func (doc *document) spreadAt(cache *endpoint) (sum float64) {
 	for _, share := range doc.spread {
 		if cache == nil || share.endpoint == cache {
@@ -128,7 +130,7 @@
 	return sum
 }
 
-// addSpread adds to the share of a cache, from the home's share.
+// addSpread increases the share of a cache and so decreases the home's share.
 func (doc *document) addSpread(cache *endpoint, by float64) {
 	at := slices.IndexFunc(doc.spread, func(share spreadShare) bool { return share.endpoint == cache })
 	if at >= 0 {
@@ -138,13 +140,13 @@
 	}
 }
 
-// dropSpread gives the share of a cache back to the home.
+// dropSpread returns the share of a cache to the home.
 func (doc *document) dropSpread(cache *endpoint) {
 	doc.spread = slices.DeleteFunc(doc.spread, func(share spreadShare) bool { return share.endpoint == cache })
 }
 
-// shiftSpread moves a fraction of the home's share to a cache. A negative fraction moves that part of the cache's share back.
-// At least minSpread stays outside the home.
+// shiftSpread moves a fraction of the home's share to a cache. A negative fraction moves that part of the cache's share back to
+// the home. At least minSpread stays outside the home.
 func (doc *document) shiftSpread(cache *endpoint, fraction float64) {
 	by := fraction * (1 - doc.spreadAt(nil))
 	if fraction < 0 {
--- a/internal/routing/diffusion_test.go
+++ b/internal/routing/diffusion_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// hotSite returns a site with one hot document. The caches have served the given numbers of requests, by their places in the
-// document's order of preference.
+// hotSite returns a site with one hot document. served states how many requests each cache has served, by its position in the
+// document's preference order.
 func hotSite(caches int, served map[int]int) (*testSite, *document) {
 	site := newTestSite(1, caches)
 	object := site.director.object(5, 0)
@@ -21,25 +21,25 @@
 	return site, hot
 }
 
-// TestShiftFollowsTheLoadGap has a home with more load than two of its peers: what one period shifts is the gap less noise,
-// times alpha.
-func TestShiftFollowsTheLoadGap(t *testing.T) {
+// TestDiffusionShiftsLoadGapLessNoise has a home with more load than two of its peers. One period must shift the load gap minus
+// noise, multiplied by alpha.
+func TestDiffusionShiftsLoadGapLessNoise(t *testing.T) {
 	site, hot := hotSite(4, map[int]int{0: 400, 1: 100, 2: 100, 3: 400})
 	site.director.diffuse(2 * time.Second)
 	gap, noise := 150.0, math.Sqrt(500)/2
 	rate := hot.requests.Rate(2 * time.Second)
-	want := (gap - noise) / 5 // a home and three others: alpha is 1/5
+	want := (gap - noise) / 5 // four caches: alpha is 1/5
 	if got := hot.spreadAt(hot.order[2]) * rate; math.Abs(got-want) > 0.2*want {
-		t.Errorf("shifted %.1f a second to the third, want about %.1f", got, want)
+		t.Errorf("shifted %.1f requests per second to the third cache, want about %.1f", got, want)
 	}
 	if got := hot.spreadAt(hot.order[3]); got != 0 {
-		t.Errorf("shifted %.2f to a cache as loaded as the home, want none", got)
+		t.Errorf("shifted share %.2f to a cache with the same load as the home, want 0", got)
 	}
 }
 
-// TestSharesStayInBounds checks that a home gives away no more than it has, and that a reversed gap returns shares, but for
-// minSpread.
-func TestSharesStayInBounds(t *testing.T) {
+// TestSpreadSharesStayWithinBounds checks that a home gives away at most its whole load, and that a reversed load gap returns
+// shares to the home but leaves minSpread outside it.
+func TestSpreadSharesStayWithinBounds(t *testing.T) {
 	for name, served := range map[string]map[int]int{"gap": {0: 4000}, "reversed gap": {0: 50, 1: 900, 2: 900}} {
 		t.Run(name, func(t *testing.T) {
 			site, hot := hotSite(3, served)
@@ -47,21 +47,21 @@
 			site.director.diffuse(2 * time.Second)
 			got, shouldGrow := hot.spreadAt(nil), served[0] == 4000
 			if got > 1+1e-9 || got < minSpread-1e-9 {
-				t.Errorf("served %v: %.2f away from the home, want %.2f to 1", served, got, minSpread)
+				t.Errorf("served %v: share %.2f outside the home, want %.2f to 1", served, got, minSpread)
 			}
 			if grew := got >= 0.8; grew != shouldGrow {
-				t.Errorf("served %v: %.2f away from the home, want 0.80 as before or more: %v", served, got, shouldGrow)
+				t.Errorf("served %v: share %.2f outside the home, want at least the initial 0.80: %v", served, got, shouldGrow)
 			}
 		})
 	}
 }
 
-// TestHotDocumentIsHalvedBetweenTwoCaches checks that half of the requests for a hot document go to other caches than its
-// home, as soon as it is hot and whatever the loads. Guards against a home that carries a hot document alone until a load gap
-// shows, or again where its peers happen to carry more.
-func TestHotDocumentIsHalvedBetweenTwoCaches(t *testing.T) {
+// TestHotDocumentSplitEvenlyBetweenTwoCaches checks that half of the requests for a hot document go to caches other than its
+// home as soon as it is hot, regardless of load. Guards against a home that serves a hot document alone until a load gap
+// appears, or again when its peers happen to have more load.
+func TestHotDocumentSplitEvenlyBetweenTwoCaches(t *testing.T) {
 	const draws = 4000
-	for name, served := range map[string]map[int]int{"loads alike": {}, "home idle": {0: 50, 1: 900, 2: 900}} {
+	for name, served := range map[string]map[int]int{"equal loads": {}, "idle home": {0: 50, 1: 900, 2: 900}} {
 		t.Run(name, func(t *testing.T) {
 			site, hot := hotSite(3, served)
 			site.director.diffuse(2 * time.Second)
@@ -70,16 +70,16 @@
 				counts[site.director.pickBySpread(&openRequest{id: id, document: hot}, hot.order)]++
 			}
 			if home := float64(counts[hot.order[0]]) / draws; math.Abs(home-0.5) > 0.03 {
-				t.Errorf("%.3f of the requests go to the home, want half", home)
+				t.Errorf("share of requests to the home: got %.3f, want 0.5", home)
 			}
 			if second := float64(counts[hot.order[1]]) / draws; math.Abs(second-0.5) > 0.03 {
-				t.Errorf("%.3f of the requests go to the second cache, want half", second)
+				t.Errorf("share of requests to the second cache: got %.3f, want 0.5", second)
 			}
 		})
 	}
 }
 
-// TestHotObjectReachesTwoCaches requests one object often: more than one cache serves it.
+// TestHotObjectReachesTwoCaches checks that an object that is requested often is served by more than one cache.
 func TestHotObjectReachesTwoCaches(t *testing.T) {
 	site := newManualSite(t, 3)
 	site.manual = false
@@ -93,13 +93,13 @@
 			serving[sent.node] = true
 		}
 	}
-	site.failIf(len(serving) < 2, "a hot object is served by %d caches, want 2 or more", len(serving))
+	site.failIf(len(serving) < 2, "hot object served by %d caches, want at least 2", len(serving))
 }
 
-// TestSharesAtManyCaches has a hot object at a growing number of caches. At more caches each gets less of a gap, and a
-// share below minSpreadShare goes back: past a hundred caches at one location a hot object stays at two. That is logged,
-// not judged; a site of the plan has four caches.
-func TestSharesAtManyCaches(t *testing.T) {
+// TestHotDocumentSpreadWithManyCaches has a hot object at locations with an increasing number of caches. With more caches each
+// one gets a smaller part of the load gap, and shares below minSpreadShare return to the home. With more than a hundred caches
+// at one location, a hot object stays at two of them. This is logged and not checked, because a planned site has four caches.
+func TestHotDocumentSpreadWithManyCaches(t *testing.T) {
 	for _, caches := range []int{4, 20, 40, 60, 90, 100, planCaches} {
 		director := newListedDirector(1, caches)
 		doc := director.document(director.object(5, 0), 0, false)
@@ -110,15 +110,15 @@
 			director.objects[5].lastRequest, doc.lastRequest = now, now
 			doc.requests.Add(now, 100)
 			director.requestRing.Add(now, 200)
-			home.served.Add(now, 100*(1-doc.spreadAt(nil))) // nothing else is requested
+			home.served.Add(now, 100*(1-doc.spreadAt(nil))) // no other object is requested
 			for _, share := range doc.spread {
 				share.endpoint.served.Add(now, 100*share.fraction)
 			}
 			director.HandleTimer(now, 0)
 		}
-		t.Logf("%d caches: a hot object is at %d, %.2f of it away from its home", caches, 1+len(doc.spread), doc.spreadAt(nil))
+		t.Logf("%d caches: hot object at %d of them, share outside its home %.2f", caches, 1+len(doc.spread), doc.spreadAt(nil))
 		if caches <= 60 && len(doc.spread) < 2 {
-			t.Errorf("%d caches: a hot object is at %d, want 3 or more", caches, 1+len(doc.spread))
+			t.Errorf("%d caches: hot object at %d of them, want at least 3", caches, 1+len(doc.spread))
 		}
 	}
 }
--- a/internal/routing/director.go
+++ b/internal/routing/director.go
@@ -1,40 +1,40 @@
-// Package routing decides for one director which cache serves a request, who fills a miss, and what is retried, rejected,
-// ejected and cached.
+// Package routing makes the decisions of one director: which cache serves a request, which source fills a miss, and what is
+// retried, rejected, ejected and cached.
 //
-// New makes a Director from Settings and an Executor. UpdateEndpoints, HandleRequest, HandlePurge, HandleOutcome,
-// HandleTimer, HandleClientGone, HandleHealthCheck and HandlePeerHealth report events to it. Each event is one call, with the
-// time since the director's start; calls must not overlap, and their times must not run backwards. Every decision goes out
-// through the Executor before the call returns. The package does no I/O, starts no goroutine and reads no clock, and the same
-// calls give the same decisions.
+// New creates a Director from Settings and an Executor. UpdateEndpoints, HandleRequest, HandlePurge, HandleOutcome,
+// HandleTimer, HandleClientGone, HandleHealthCheck and HandlePeerHealth report events to it. Each event is one call with the
+// time since the director's start. Calls must not overlap, and their times must not decrease. Every decision is passed to the
+// Executor before the call returns. The package does no I/O, starts no goroutines and reads no clock. The same sequence of
+// calls produces the same decisions.
 //
-// A reader begins at Director.route in request.go, the path of every request; outcome.go has what follows the end of an
-// attempt. Each file holds one concern: its header says what it decides, when it acts and what it guards against, and its
-// constants are the tuned values of that concern, which hold for every deployment.
+// Start reading at Director.route in request.go, which every request passes through. outcome.go handles the end of an attempt.
+// Each file covers one concern. Its header states what it decides, when it applies and what it guards against. Its constants
+// are tuned for that concern and apply to every deployment.
 package routing
 
 import "time"
 
 // Director makes the decisions of one director. Its state is split by concern: each embedded struct is declared in the file
-// that changes it.
+// that modifies it.
 type Director struct {
 	executor    Executor
 	settings    routerSettings
 	classes     []*classState // by the index of the class in Settings.Classes
 	retryBudget retryBudget
 
-	endpointList   // endpoints.go: the endpoints that discovery lists
-	objectStore    // objects.go: the objects that were requested lately
+	endpointList   // endpoints.go: the endpoints listed by discovery
+	objectStore    // objects.go: the recently requested objects
 	purgeTable     // freshness.go: the newest purges
 	requestTable   // request.go: the open requests and their attempts
-	fillLink       // limits.go: the fills in flight through the location's inbound link
+	fillLink       // limits.go: the fills in flight on the location's inbound link
 	lateAnswers    // limits.go: the share of answers that are late
 	lostAnswers    // latency.go: the share of answers that are lost
-	rejectedFills  // healthcheck.go: the share of fills rejected without a reason
-	inflationClock // boundedload.go: the count of answers, by which latency inflation fades
-	randomDraws    // chance.go: this director's own draws
+	rejectedFills  // healthcheck.go: the share of fills rejected without a stated reason
+	inflationClock // boundedload.go: the answer count, which is the clock for the decay of latency inflation
+	randomDraws    // chance.go: the random draws of this director
 }
 
-// New makes a Director that knows no endpoints and no objects yet, and sets the timer of its first period.
+// New creates a Director without endpoints and objects, and sets the timer of its first period.
 func New(settings Settings, executor Executor) *Director {
 	d := &Director{
 		executor:     executor,
--- a/internal/routing/director_test.go
+++ b/internal/routing/director_test.go
@@ -12,7 +12,7 @@
 func (discardExecutor) SetTimer(wait time.Duration, _ uint32) {}
 func (discardExecutor) CheckHealth(uint32)                    {}
 
-// listedEndpoints returns an origin, two parents and some caches, all of them of the director's location.
+// listedEndpoints returns an origin, two parents and the given number of caches, all of them at the director's location.
 func listedEndpoints(caches int) []Endpoint {
 	list := []Endpoint{{Node: 1, State: Ready, Kind: 2}, {Node: 2, State: Ready, Kind: 1}, {Node: 3, State: Ready, Kind: 1}}
 	for i := range caches {
@@ -21,8 +21,8 @@
 	return list
 }
 
-// newListedDirector returns one of some directors, whose list is listedEndpoints: where a site's caches are at many locations
-// it ranks fewer.
+// newListedDirector returns one of the given number of directors, with listedEndpoints as its endpoint list. All caches are at
+// one location, so it ranks more endpoints than a director of a site whose caches are at many locations.
 func newListedDirector(directors, caches int) *Director {
 	settings := testSettings()
 	settings.Directors, settings.DirectorsInZone = directors, directors
@@ -31,7 +31,7 @@
 	return director
 }
 
-// serveHit sends a director a request that its cache answers within 5 ms.
+// serveHit sends a director a request that a cache answers with a hit after 5 ms.
 func serveHit(director *Director, now time.Duration, request Request) {
 	director.HandleRequest(now, request)
 	director.HandleOutcome(now+5*ms, request.ID, Outcome{Duration: 5 * ms, Fill: CacheHit, Final: true})
--- a/internal/routing/endpoints.go
+++ b/internal/routing/endpoints.go
@@ -1,10 +1,10 @@
 package routing
 
-// The endpoint list: caches, parents and the origin, as discovery lists them.
+// The endpoint list: the caches, parents and the origin that discovery lists.
 //
-// It decides which endpoints are candidates, and what the restart of an endpoint invalidates. It acts on the events of
-// discovery. It guards against requests to endpoints that drain or are gone, and against memory that grows with each endpoint
-// that was ever listed.
+// It decides which endpoints are candidates, and which state becomes invalid when an endpoint restarts. It applies on discovery
+// events. It guards against requests to endpoints that are draining or gone, and against memory growth with each endpoint that
+// was ever listed.
 
 import (
 	"cmp"
@@ -14,57 +14,57 @@
 )
 
 const (
-	// maxDepartedEndpoints is how many endpoints that left the list are remembered, for their warm rates and in case they
-	// return.
+	// maxDepartedEndpoints is the number of endpoints no longer listed as ready whose records are kept, for their warm rates
+	// and in case they return.
 	maxDepartedEndpoints = 32
-	// sendWorkSeconds is the span over which the sending time of an endpoint's answers is counted.
+	// sendWorkSeconds is the length of the window, in seconds, over which the sending time of an endpoint's answers is summed.
 	sendWorkSeconds = 8
 )
 
-// State is the state of an endpoint as discovery lists it.
+// State is the state of an endpoint in the endpoint list.
 type State uint8
 
 const (
 	Gone     State = iota
-	Ready          // takes requests
-	Draining       // finishes what it has and takes no more
+	Ready          // accepts requests
+	Draining       // finishes its open requests and accepts no new ones
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	Node       uint32
 	State      State
-	StartedAt  time.Duration // last start, as time since the director's start; only if StartKnown
+	StartedAt  time.Duration // last start, relative to the director's start; valid only if StartKnown is set
 	StartKnown bool
-	Kind       int // Settings.ParentKind, Settings.OriginKind, or any other for a cache
+	Kind       int // Settings.ParentKind, Settings.OriginKind, or any other value for a cache
 	Zone       int
 	Cell       int     // failure domain within the zone
-	Capacity   float64 // transfers at once that its outgoing link carries; 0: not listed
+	Capacity   float64 // concurrent transfers that its outgoing link can carry; 0: not listed
 }
 
-// endpointRole is an endpoint's tier as this director uses it.
+// endpointRole is the role of an endpoint from the point of view of this director.
 type endpointRole uint8
 
 const (
 	cacheNode  endpointRole = iota // a cache of this location
-	parentNode                     // a parent cache, which caches fill from
+	parentNode                     // a parent cache, from which caches are filled
 	originNode
-	remoteNode // a cache of another location, which gets no requests from here
+	remoteNode // a cache of another location, which gets no requests from this director
 )
 
-// endpoint is the record of one endpoint. The embedded states are declared in the files that change them.
+// endpoint is the record of one endpoint. The embedded structs are declared in the files that modify them.
 type endpoint struct {
 	id          uint32
 	role        endpointRole
 	zone, cell  int
-	hubDistance int           // of a parent: hubs on the way to it
+	hubDistance int           // for a parent: number of hubs on the path to it
 	ready       bool          // listed, and neither draining nor gone
-	capacity    float64       // in transfers at once where capacities are listed, else 1
-	listedStart time.Duration // last start that was listed
-	emptySince  time.Duration // copies seen before this time are lost
-	inFlight    float64       // attempts of this director in flight; of a source the expected number of fills
+	capacity    float64       // in concurrent transfers if capacities are listed, else 1
+	listedStart time.Duration // last listed start
+	emptySince  time.Duration // copies seen before this time no longer exist
+	inFlight    float64       // attempts of this director in flight; for a source, the expected number of fills
 	limit       concurrencyLimit
-	served      Ring // requests served: the load that diffusion balances
+	served      Ring // requests served; this is the load that diffusion balances
 	sendWork    Ring // sending time of the answers, in seconds
 	ejectionState
 	healthCheckState
@@ -73,47 +73,47 @@
 	inflationState
 }
 
-// endpointList holds the records of all endpoints, and the ready ones by tier.
+// endpointList holds the records of all endpoints, and the ready endpoints by role.
 type endpointList struct {
 	endpoints          map[uint32]*endpoint
-	endpointsByArrival []*endpoint // the values of endpoints, the one first listed longest ago in front
+	endpointsByArrival []*endpoint // the values of endpoints in the order in which they were first listed
 	caches             []*endpoint // ready caches of this location, by id
 	parents            []*endpoint // ready parents, by id
 	origin             *endpoint   // ready origin with the lowest id; nil: none
-	endpointVersion    int         // counts the changes of the list
+	endpointVersion    int         // number of changes to the list
 }
 
-// UpdateEndpoints applies events of discovery. A complete list replaces all that was listed before. An endpoint that drains or
-// is gone gets no more attempts from here on, and fills no more.
+// UpdateEndpoints applies discovery events. A complete list replaces everything that was listed before. An endpoint that is
+// draining or gone gets no further attempts and fills.
 func (d *Director) UpdateEndpoints(now time.Duration, list []Endpoint, complete bool) {
 	if complete {
-		for _, known := range d.endpoints {
-			known.ready = false
+		for _, ep := range d.endpoints {
+			ep.ready = false
 		}
 	}
 	for _, listed := range list {
-		known := d.endpoints[listed.Node]
-		if known == nil {
-			known = d.addEndpoint(listed.Node)
+		ep := d.endpoints[listed.Node]
+		if ep == nil {
+			ep = d.addEndpoint(listed.Node)
 		}
-		known.zone, known.cell, known.ready = listed.Zone, listed.Cell, listed.State == Ready
+		ep.zone, ep.cell, ep.ready = listed.Zone, listed.Cell, listed.State == Ready
 		if d.settings.capacitiesListed && listed.Capacity > 0 {
-			known.capacity = listed.Capacity
+			ep.capacity = listed.Capacity
 		}
-		d.assignRole(known, listed)
-		if listed.StartKnown && known.listedStart != listed.StartedAt {
-			d.noteRestart(now, known, listed.StartedAt)
+		d.assignRole(ep, listed)
+		if listed.StartKnown && ep.listedStart != listed.StartedAt {
+			d.resetAfterRestart(now, ep, listed.StartedAt)
 		}
 	}
 	d.rebuildEndpointLists()
 }
 
-// addEndpoint makes the record of an endpoint that is listed for the first time.
+// addEndpoint creates the record of an endpoint that is listed for the first time.
 func (d *Director) addEndpoint(id uint32) *endpoint {
 	added := &endpoint{
 		id:               id,
 		capacity:         1,
-		listedStart:      math.MinInt64, // before any start
+		listedStart:      math.MinInt64, // earlier than any start
 		limit:            concurrencyLimit{max: d.initialLimit(initialEndpointLimit)},
 		served:           NewRing(loadBucketWidth, loadBuckets),
 		sendWork:         NewRing(time.Second, sendWorkSeconds),
@@ -125,33 +125,33 @@
 	return added
 }
 
-// assignRole sets the tier of an endpoint by its kind and its zone.
-func (d *Director) assignRole(known *endpoint, listed Endpoint) {
+// assignRole sets the role of an endpoint according to its kind and zone.
+func (d *Director) assignRole(ep *endpoint, listed Endpoint) {
 	switch {
 	case listed.Kind == d.settings.originKind:
-		known.role = originNode
+		ep.role = originNode
 	case listed.Kind == d.settings.parentKind:
-		known.hubDistance = d.hubDistance(listed.Zone)
-		if known.role != parentNode {
-			known.role, known.limit.max = parentNode, d.initialLimit(initialLinkLimit)
+		ep.hubDistance = d.hubDistance(listed.Zone)
+		if ep.role != parentNode {
+			ep.role, ep.limit.max = parentNode, d.initialLimit(initialLinkLimit)
 		}
 	case listed.Zone == d.settings.zone:
-		known.role = cacheNode
+		ep.role = cacheNode
 	default:
-		known.role = remoteNode
+		ep.role = remoteNode
 	}
 }
 
-// noteRestart forgets what no longer holds of an endpoint that started at startedAt: its copies, ejection, limit and fill
+// resetAfterRestart resets the state that a restart at startedAt invalidates: copies, ejection, concurrency limit and fill
 // latency. It begins a slow start.
-func (d *Director) noteRestart(now time.Duration, restarted *endpoint, startedAt time.Duration) {
+func (d *Director) resetAfterRestart(now time.Duration, restarted *endpoint, startedAt time.Duration) {
 	restarted.listedStart, restarted.emptySince = startedAt, max(restarted.emptySince, startedAt)
 	d.beginSlowStart(now, restarted, startedAt)
 	restarted.ejectedUntil, restarted.overdueCount, restarted.onProbation = 0, 0, false
 	restarted.limit, restarted.fillLatency = concurrencyLimit{max: minLimit}, 0
 }
 
-// hubDistance counts the hubs on the way to a zone's parents. The hubs form a ring.
+// hubDistance returns the number of hubs between this director's zone and the parents of another zone. The hubs form a ring.
 func (d *Director) hubDistance(zone int) int {
 	if zone >= len(d.settings.hubOf) {
 		return d.settings.hubs
@@ -160,20 +160,20 @@
 	return min(clockwise, d.settings.hubs-clockwise)
 }
 
-// rebuildEndpointLists sorts the ready endpoints into tiers after a change of the list.
+// rebuildEndpointLists groups the ready endpoints by role after a change of the list.
 func (list *endpointList) rebuildEndpointLists() {
 	list.endpointVersion++
-	list.forgetDeparted()
+	list.dropDeparted()
 	list.caches, list.parents, list.origin = nil, nil, nil
-	for _, known := range list.endpoints {
+	for _, ep := range list.endpoints {
 		switch {
-		case !known.ready:
-		case known.role == cacheNode:
-			list.caches = append(list.caches, known)
-		case known.role == parentNode:
-			list.parents = append(list.parents, known)
-		case known.role == originNode && (list.origin == nil || known.id < list.origin.id):
-			list.origin = known
+		case !ep.ready:
+		case ep.role == cacheNode:
+			list.caches = append(list.caches, ep)
+		case ep.role == parentNode:
+			list.parents = append(list.parents, ep)
+		case ep.role == originNode && (list.origin == nil || ep.id < list.origin.id):
+			list.origin = ep
 		}
 	}
 	byID := func(a, b *endpoint) int { return cmp.Compare(a.id, b.id) }
@@ -181,21 +181,21 @@
 	slices.SortFunc(list.parents, byID)
 }
 
-// forgetDeparted drops endpoints that are not ready until maxDepartedEndpoints of them are left. It drops first the endpoints
-// that were first listed longest ago.
-func (list *endpointList) forgetDeparted() {
+// dropDeparted drops records of endpoints that are not ready until at most maxDepartedEndpoints of them remain. The endpoints
+// that were first listed longest ago are dropped first.
+func (list *endpointList) dropDeparted() {
 	departed := 0
-	for _, known := range list.endpointsByArrival {
-		if !known.ready {
+	for _, ep := range list.endpointsByArrival {
+		if !ep.ready {
 			departed++
 		}
 	}
-	list.endpointsByArrival = slices.DeleteFunc(list.endpointsByArrival, func(known *endpoint) bool {
-		if known.ready || departed <= maxDepartedEndpoints {
+	list.endpointsByArrival = slices.DeleteFunc(list.endpointsByArrival, func(ep *endpoint) bool {
+		if ep.ready || departed <= maxDepartedEndpoints {
 			return false
 		}
 		departed--
-		delete(list.endpoints, known.id)
+		delete(list.endpoints, ep.id)
 		return true
 	})
 }
--- a/internal/routing/freshness.go
+++ b/internal/routing/freshness.go
@@ -1,9 +1,9 @@
 package routing
 
-// Freshness: how old a copy may be, and with which priority a cache retains it.
+// Freshness: how old a served copy may be, and the priority with which a cache retains it.
 //
-// It decides the maximum age and the cache priority of each attempt. It acts on every attempt and on every purge. It guards
-// against answers from before a purge, and against copies of objects requested once that evict copies at their home.
+// It decides the maximum age and the cache priority of each attempt. It applies to every attempt and on every purge. It guards
+// against answers that predate a purge, and against objects requested only once that evict copies at their home.
 
 import (
 	"maps"
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// purgeMargin is how much longer than Settings.PurgeRetention a purge is remembered.
+// purgeMargin is added to Settings.PurgeRetention to get the time for which a purge is remembered.
 const purgeMargin = time.Second
 
-// purgeTable holds the time of the newest purge of each object and each group. The time of a purge before the director's start
+// purgeTable holds the time of the latest purge of each object and each group. The time of a purge before the director's start
 // is negative.
 type purgeTable struct {
 	objectPurges map[uint64]time.Duration
 	groupPurges  map[uint32]time.Duration
 }
 
-// HandlePurge takes a purge: copies from before now-ago must not be served. Object 0 stands for all objects of the group.
+// HandlePurge records a purge: copies from before now-ago must not be served. Object 0 stands for all objects of the group.
 func (d *Director) HandlePurge(now time.Duration, group uint32, object uint64, ago time.Duration) {
 	if object == 0 {
-		noteNewest(d.groupPurges, group, now-ago)
+		recordNewest(d.groupPurges, group, now-ago)
 	} else {
-		noteNewest(d.objectPurges, object, now-ago)
+		recordNewest(d.objectPurges, object, now-ago)
 	}
 }
 
-// noteNewest keeps the newest time of each key.
-func noteNewest[Key comparable](purges map[Key]time.Duration, key Key, at time.Duration) {
+// recordNewest stores the time of a purge unless a later one is stored for the key.
+func recordNewest[Key comparable](purges map[Key]time.Duration, key Key, at time.Duration) {
 	if last, ok := purges[key]; !ok || at > last {
 		purges[key] = at
 	}
 }
 
-// lastPurge returns the time of the newest purge of the object or its group, or a time far back if there is none.
+// lastPurge returns the time of the latest purge of the object or its group, or a time far in the past if there is none.
 func (purges *purgeTable) lastPurge(record *object) time.Duration {
 	newest := time.Duration(math.MinInt64 / 2)
 	if at, ok := purges.objectPurges[record.id]; ok {
@@ -49,7 +49,7 @@
 	return newest
 }
 
-// expire drops the purges from before a time: the caches have dropped every copy from before them.
+// expire drops purges from before a time, because the caches no longer hold any copy that they apply to.
 func (purges *purgeTable) expire(before time.Duration) {
 	maps.DeleteFunc(purges.objectPurges, func(_ uint64, at time.Duration) bool { return at < before })
 	maps.DeleteFunc(purges.groupPurges, func(_ uint32, at time.Duration) bool { return at < before })
@@ -61,9 +61,9 @@
 	d.purgeTable.expire(now - d.settings.purgeRetention - purgeMargin)
 }
 
-// maxAge returns the age of the oldest copy that may be served, 0 for the fresh time of the class. After a purge it is the
-// time since the purge, at least 1 µs, as 0 would allow any age. An attempt for a cached copy only, and a retry, take a copy
-// in its stale grace rather than none.
+// maxAge returns the maximum age of a served copy, or 0 for FreshFor of the class. After a purge it is the time since the
+// purge, but at least 1 µs, because 0 would not limit the age. An attempt for a cached copy only and a retry accept a copy
+// within its stale grace, because the alternative is no answer.
 func (d *Director) maxAge(now time.Duration, request *openRequest, cachedOnly bool) time.Duration {
 	limit := request.class.FreshFor
 	if limit > 0 && (cachedOnly || request.mayHaveBeenSent()) {
@@ -71,7 +71,7 @@
 	}
 	purgedAt := d.lastPurge(request.object)
 	if purgedAt <= -d.settings.purgeRetention {
-		return limit // carried out before the director's start, or none
+		return limit // no purge, or one that the caches have already carried out
 	}
 	sincePurge := max(now-purgedAt, time.Microsecond)
 	if limit == 0 {
@@ -82,13 +82,13 @@
 
 // Cache priorities of an attempt.
 const (
-	priorityNone = 0 // cache nothing
-	priorityLow  = 1 // first to be evicted: an object requested once, or a further copy outside the home
-	priorityHome = 2 // the copy of the home, or the only copy
+	priorityNone = 0 // do not store the answer
+	priorityLow  = 1 // evicted first: an object requested only once, or an additional copy outside the home
+	priorityHome = 2 // the copy at the home, or the only copy
 )
 
-// cachePriority returns the priority with which the cache keeps the answer. Neither objects requested once nor further copies
-// may evict the copies of a home.
+// cachePriority returns the priority with which the cache stores the answer. Neither objects requested only once nor additional
+// copies may evict the copies of a home.
 func (d *Director) cachePriority(now time.Duration, request *openRequest, target *endpoint, order []*endpoint) uint8 {
 	if request.class.Write || target.role != cacheNode {
 		return priorityNone
--- a/internal/routing/freshness_test.go
+++ b/internal/routing/freshness_test.go
@@ -6,31 +6,33 @@
 	"time"
 )
 
-// TestPurgeLimitsTheMaximumAge purges a group that was never seen, and an object from before the start.
-func TestPurgeLimitsTheMaximumAge(t *testing.T) {
+// TestPurgeLimitsMaxAge purges a group of which no object was requested yet, and an object at a time before the director's
+// start. Both purges must limit the maximum age of later requests.
+func TestPurgeLimitsMaxAge(t *testing.T) {
 	site := newManualSite(t, 3)
-	site.purge(3, 0, 0)                    // of a group never seen,
-	site.sendRequest(segmentedClass, 7, 0) // to which this object belongs
+	site.purge(3, 0, 0)                    // a group without any requested object,
+	site.sendRequest(segmentedClass, 7, 0) // this object belongs to the group
 	site.failIf(site.lastOrder.MaxAge != time.Microsecond,
-		"maximum age %v right after the purge, want %v", site.lastOrder.MaxAge, time.Microsecond)
+		"maximum age right after the purge: got %v, want %v", site.lastOrder.MaxAge, time.Microsecond)
 
-	sincePurge := site.now + 2*time.Second // from before the start: younger copies will do
+	sincePurge := site.now + 2*time.Second // before the start: younger copies may be served
 	site.purge(0, 9, sincePurge)
 	site.sendRequest(segmentedClass, 9, 0)
-	site.failIf(site.lastOrder.MaxAge != sincePurge, "maximum age %v, want %v since the purge", site.lastOrder.MaxAge, sincePurge)
+	site.failIf(site.lastOrder.MaxAge != sincePurge, "maximum age: got %v, want the time since the purge %v",
+		site.lastOrder.MaxAge, sincePurge)
 }
 
-// TestPurgesAtThePlansRate purges at the plan's rate, one in ten a complete group. Purges are remembered for the time in which
-// old copies may be served and the margin, and no longer; none of these is forgotten.
-func TestPurgesAtThePlansRate(t *testing.T) {
+// TestPurgeRetentionAtPlannedRate sends purges at the planned rate, one in ten for a whole group. Each purge must be remembered
+// for PurgeRetention plus purgeMargin and no longer, and none may be dropped earlier.
+func TestPurgeRetentionAtPlannedRate(t *testing.T) {
 	for _, retention := range []time.Duration{2 * time.Second, 6 * time.Second, time.Minute} {
 		t.Run(fmt.Sprintf("retention %v", retention), func(t *testing.T) {
 			settings := testSettings()
 			settings.PurgeRetention = retention
 			director := New(settings, discardExecutor{})
-			most, made := 0, map[uint64]time.Duration{}
+			peak, purgedAt := 0, map[uint64]time.Duration{}
 			due, now, end := diffusionPeriod, time.Duration(0), 2*(retention+purgeMargin)+10*time.Second
-			for object := uint64(1); now < end; object, now = object+1, now+every(planPurges) {
+			for object := uint64(1); now < end; object, now = object+1, now+interval(planPurges) {
 				for ; due <= now; due += diffusionPeriod {
 					director.HandleTimer(due, 0)
 				}
@@ -38,18 +40,18 @@
 					director.HandlePurge(now, uint32(object), 0, 0)
 				} else {
 					director.HandlePurge(now, 0, object, 0)
-					made[object] = now
+					purgedAt[object] = now
 				}
-				most = max(most, len(director.objectPurges)+len(director.groupPurges))
+				peak = max(peak, len(director.objectPurges)+len(director.groupPurges))
 			}
 			want := planPurges * (retention + purgeMargin).Seconds()
-			t.Logf("retention of %v: %d purges remembered at the most, %.1f expected", retention, most, want)
-			if least := want - 1; float64(most) < least || float64(most) > want+planPurges*diffusionPeriod.Seconds()+2 {
-				t.Errorf("retention of %v: %d purges remembered at the most, %.1f expected", retention, most, want)
+			t.Logf("retention of %v: at most %d purges remembered, want about %.1f", retention, peak, want)
+			if least := want - 1; float64(peak) < least || float64(peak) > want+planPurges*diffusionPeriod.Seconds()+2 {
+				t.Errorf("retention of %v: at most %d purges remembered, want about %.1f", retention, peak, want)
 			}
-			for object, at := range made {
+			for object, at := range purgedAt {
 				if _, ok := director.objectPurges[object]; !ok && now-at < retention {
-					t.Fatalf("retention of %v: a purge of %v ago is forgotten", retention, now-at)
+					t.Fatalf("retention of %v: purge from %v ago is no longer remembered", retention, now-at)
 				}
 			}
 		})
--- a/internal/routing/invariants_test.go
+++ b/internal/routing/invariants_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestInvariantsOnRandomDays simulates random days and checks the five rules of testSite after every step. At the end of a day
-// nothing may be left over.
-func TestInvariantsOnRandomDays(t *testing.T) {
-	day := func(seed int64) bool {
+// TestInvariantsUnderRandomEvents simulates random sequences of events and checks the five rules of testSite after every step.
+// At the end of a sequence no request, attempt or fill may remain.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
+	holds := func(seed int64) bool {
 		site := newTestSite(seed, 4)
 		for range 400 {
 			site.randomEvent()
@@ -20,45 +20,46 @@
 		requests, open := len(site.director.requests), len(site.director.requestsByToken)
 		attempts, fills := len(site.director.inFlight), site.director.fillsInFlight
 		site.failIf(requests+open+attempts != 0 || fills != 0,
-			"left over: %d requests, %d of them open, %d attempts, %g fills; want none", requests, open, attempts, fills)
+			"remaining: %d requests, %d of them open, %d attempts, %g fills; want 0", requests, open, attempts, fills)
 		if site.violation != "" {
 			t.Logf("seed %d: %s", seed, site.violation)
 		}
 		return site.violation == ""
 	}
-	if err := quick.Check(day, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(3))}); err != nil {
+	if err := quick.Check(holds, &quick.Config{MaxCount: 60, Rand: rand.New(rand.NewSource(3))}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// changingEndpoints are the parents and caches of newTestSite with four caches.
-var changingEndpoints = []uint32{2, 3, 10, 11, 12, 13}
+// variableEndpoints are the parents and caches of newTestSite with four caches. Random events change their states.
+var variableEndpoints = []uint32{2, 3, 10, 11, 12, 13}
 
-// randomEvent draws one event of a day: mostly requests, else a purge, a change of the endpoint list or a client that leaves.
+// randomEvent performs a random event: mostly requests, otherwise a purge, a change of the endpoint list or a disconnecting
+// client.
 func (site *testSite) randomEvent() {
 	switch kind := site.random.Intn(40); {
 	case kind < 30:
 		for range site.random.Intn(4) {
 			class := site.random.Intn(4)
-			object := uint64(1 + min(site.random.Intn(40), site.random.Intn(40))) // some more often than others
+			object := uint64(1 + min(site.random.Intn(40), site.random.Intn(40))) // lower ids are more frequent
 			site.sendRequest(class, object, uint32(site.random.Intn(3)))
 		}
 	case kind < 32:
 		site.purge(uint32(site.random.Intn(4)), uint64(site.random.Intn(20)), time.Duration(site.random.Intn(2))*30*ms)
 	case kind == 32:
-		listed := site.endpoints[changingEndpoints[site.random.Intn(len(changingEndpoints))]]
+		listed := site.endpoints[variableEndpoints[site.random.Intn(len(variableEndpoints))]]
 		listed.State = State(site.random.Intn(3))
 		site.updateEndpoints(false, listed)
 	case kind < 35:
-		for _, node := range changingEndpoints[site.random.Intn(len(changingEndpoints)):] {
+		for _, node := range variableEndpoints[site.random.Intn(len(variableEndpoints)):] {
 			site.restartUnlessReady(node)
 		}
 	case kind == 35 && site.nextID > 0:
-		site.leave(1 + uint32(site.random.Intn(int(site.nextID))))
+		site.clientGone(1 + uint32(site.random.Intn(int(site.nextID))))
 	}
 }
 
-// restartUnlessReady lists an endpoint as ready; one that was not ready starts anew.
+// restartUnlessReady lists an endpoint as ready, with a new start if it was not ready.
 func (site *testSite) restartUnlessReady(node uint32) {
 	listed := site.endpoints[node]
 	if listed.State != Ready {
@@ -67,8 +68,8 @@
 	site.updateEndpoints(false, listed)
 }
 
-// leave has the client of a request leave, unless it has its answer.
-func (site *testSite) leave(id uint32) {
+// clientGone disconnects the client of a request, unless the request is already answered.
+func (site *testSite) clientGone(id uint32) {
 	request := site.requests[id]
 	if request.answered {
 		return
--- a/internal/routing/latency.go
+++ b/internal/routing/latency.go
@@ -1,10 +1,10 @@
 package routing
 
-// Latency: how long sending takes, and when an attempt is overdue or its answer lost.
+// Latency: how long it takes to send an answer, and when an attempt is overdue or its answer is lost.
 //
-// It decides the expected sending time of a request and after how long an attempt counts as overdue. It acts on
-// every answer and when an attempt is overdue. It guards against hangs, unresponsive endpoints, dead links and links that
-// lose answers, before any timeout, and against taking a large answer for a full link.
+// It decides the expected sending time of a request, and the time after which an attempt counts as overdue. It applies to every
+// answer and when an attempt becomes overdue. It detects hangs, unresponsive endpoints, dead links and links that lose answers
+// before any timeout expires. It also guards against mistaking a large answer for a full link.
 
 import (
 	"math"
@@ -12,29 +12,29 @@
 )
 
 const (
-	attemptOverhead     = 100 * time.Millisecond  // expected time of an attempt beside sending: round trips and handshakes
-	overdueDeviations   = 4.0                     // an attempt is overdue this many mean deviations above the mean,
-	minOverdueWait      = 400 * time.Millisecond  // but not before this time, as pauses are shorter,
-	maxOverdueWait      = 2500 * time.Millisecond // and after this time in any case
-	lostAfterFactor     = 3                       // an answer is taken to be lost after this multiple of the time until it is overdue
-	lossyAnswerShare    = 0.05                    // share of answers of live endpoints that never come above which that is not chance
-	smoothing           = 1.0 / 16                // weight of one more sample in a smoothed value
-	sendTimeSmoothing   = smoothing / 4           // weight of one more answer in the sending time of a class
-	minSendTimeSamples  = 1 / smoothing           // answers of a class after more than which its mean sending time may count as the least
-	initialDeviation    = 0.5                     // mean deviation of a class that has no answers yet,
-	initialSendShare    = 0.5                     // and its sending time, as a share of its latency objective
-	clockTick           = time.Duration(1)        // added to a sending time so that nothing is divided by zero
-	minExpectedSendTime = time.Millisecond        // least sending time of a class in a quotient, likewise
+	attemptOverhead     = 100 * time.Millisecond  // expected time of an attempt in addition to sending: round trips and handshakes
+	overdueDeviations   = 4.0                     // an attempt is overdue at this many mean deviations above the mean,
+	minOverdueWait      = 400 * time.Millisecond  // but not before this time, which is longer than usual pauses,
+	maxOverdueWait      = 2500 * time.Millisecond // and at the latest after this time
+	lostAfterFactor     = 3                       // an answer is considered lost after this multiple of the time until it is overdue
+	lossyAnswerShare    = 0.05                    // a larger share of lost answers from live endpoints is not random variation
+	smoothing           = 1.0 / 16                // weight of one sample in a smoothed value
+	sendTimeSmoothing   = smoothing / 4           // weight of one answer in the sending time of a class
+	minSendTimeSamples  = 1 / smoothing           // a class needs more answers than this before its mean sending time may become minSendTime
+	initialDeviation    = 0.5                     // initial mean deviation of a class,
+	initialSendShare    = 0.5                     // and its initial sending time, as a share of its latency objective
+	clockTick           = time.Duration(1)        // added to a sending time to avoid a division by zero
+	minExpectedSendTime = time.Millisecond        // minimum sending time of a class in a quotient, for the same reason
 )
 
 // classState is a request class with its smoothed latencies.
 type classState struct {
 	Class
-	meanRatio      movingAverage // ratio of the time taken to the time expected
-	ratioDeviation movingAverage // mean deviation of that ratio
-	sendTime       time.Duration // smoothed sending time
-	minSendTime    time.Duration // the least that sendTime ever was; where bytes are reported, sendTime itself
-	samples        float64       // answers in sendTime
+	meanRatio       movingAverage // ratio of the actual time to the expected time
+	ratioDeviation  movingAverage // mean deviation of that ratio
+	sendTime        time.Duration // smoothed sending time
+	minSendTime     time.Duration // minimum value of sendTime so far; equal to sendTime if bytes are reported
+	sendTimeSamples float64       // number of answers in sendTime
 }
 
 // newClassState returns the state of a class that has no answers yet.
@@ -43,9 +43,9 @@
 	return &classState{Class: class, meanRatio: 1, ratioDeviation: initialDeviation, sendTime: send, minSendTime: send}
 }
 
-// lostAnswers is how often answers to this director are lost on the way.
+// lostAnswers tracks how often answers to this director are lost in transit.
 type lostAnswers struct {
-	answerLossShare movingAverage // share of answers of live endpoints that never come
+	answerLossShare movingAverage // share of answers from live endpoints that never arrive
 }
 
 // mayRepeatAnywhere reports whether a request of the class may be executed again at any cache.
@@ -58,21 +58,22 @@
 	return min(class.MaxDeadline, class.LatencyObjective+time.Duration(class.ObjectiveStretch*float64(sendTime)))
 }
 
-// noteRatio smooths the ratio of the time taken to the time expected, and its deviation.
-func (class *classState) noteRatio(ratio float64) {
+// recordRatio updates the smoothed ratio of the actual time to the expected time, and its deviation.
+func (class *classState) recordRatio(ratio float64) {
 	class.ratioDeviation.observe(math.Abs(ratio-float64(class.meanRatio)), smoothing)
 	class.meanRatio.observe(ratio, smoothing)
 }
 
-// noteSendTime smooths the sending time of the class by an answer whose size was not known beforehand. Where byBytes is true,
-// taken was computed from the bytes of the answer. Else it includes waiting under load, which must not pass for size, so
-// minSendTime is the least mean of many answers. For writes, which are rare and alike, a mean of few answers will do.
-func (class *classState) noteSendTime(taken time.Duration, byBytes bool) {
-	class.samples++
-	class.sendTime = smoothed(class.sendTime, taken, max(sendTimeSmoothing, 1/class.samples))
+// recordSendTime updates the smoothed sending time of the class with an answer whose size was not known in advance. If byBytes
+// is set, taken was computed from the size of the answer. Otherwise taken includes queueing under load, which must not be
+// mistaken for size, so minSendTime is the minimum of a mean over many answers. For writes, which are rare and similar in size,
+// a mean over few answers is sufficient.
+func (class *classState) recordSendTime(taken time.Duration, byBytes bool) {
+	class.sendTimeSamples++
+	class.sendTime = smoothed(class.sendTime, taken, max(sendTimeSmoothing, 1/class.sendTimeSamples))
 	if byBytes {
 		class.minSendTime = class.sendTime
-	} else if class.samples > minSendTimeSamples || class.Write {
+	} else if class.sendTimeSamples > minSendTimeSamples || class.Write {
 		class.minSendTime = min(class.minSendTime, class.sendTime)
 	}
 }
@@ -82,7 +83,7 @@
 	return request.class.objectiveFor(d.expectedSendTime(request))
 }
 
-// longestSendTime returns the mean sending time of the class where it is longest.
+// longestSendTime returns the mean sending time of the class with the longest one.
 func (d *Director) longestSendTime() (longest time.Duration) {
 	for _, class := range d.classes {
 		longest = max(longest, class.sendTime)
@@ -90,8 +91,8 @@
 	return longest
 }
 
-// expectedSendTime returns how long sending the answer alone should take: computed from its listed size, else what is known of
-// the document, the object or the class, in this order.
+// expectedSendTime returns the expected time to send the answer. It is computed from the listed size if there is one. Otherwise
+// it is the known time of the document, of the object or of the class, in this order.
 func (d *Director) expectedSendTime(request *openRequest) time.Duration {
 	if d.sizeListed(request) {
 		return time.Duration(request.sizeKB / d.settings.kbPerMilli * float64(time.Millisecond))
@@ -105,66 +106,66 @@
 	return request.class.minSendTime
 }
 
-// sizeListed reports whether the request came with the size of its answer, and the settings say how fast an answer is sent.
+// sizeListed reports whether the request states the size of its answer and the settings state the sending rate.
 func (d *Director) sizeListed(request *openRequest) bool {
 	return request.sizeKB > 0 && d.settings.kbPerMilli > 0
 }
 
-// sizeKnown reports whether the sending time is more than a guess by the class: the size is listed, or a document of the
-// object was sent before, as the segments of an object are much alike.
+// sizeKnown reports whether the sending time is based on more than the class. This is the case if the size is listed, or if
+// another document of the object was sent before, because the segments of an object are similar in size.
 func (d *Director) sizeKnown(request *openRequest) bool {
 	return request.sizeKB > 0 || request.object.sendTime > 0
 }
 
-// overdueAfter returns the time after its start at which an attempt is overdue.
+// overdueAfter returns the time after which an attempt is overdue, measured from its start.
 func (d *Director) overdueAfter(request *openRequest) time.Duration {
 	expected := float64(d.expectedSendTime(request) + attemptOverhead)
 	usual := time.Duration(expected * float64(request.class.meanRatio+overdueDeviations*request.class.ratioDeviation))
 	return min(maxOverdueWait, max(minOverdueWait, usual))
 }
 
-// learnTimings smooths the ratio of the time taken to the time expected, for the class and the cache, and then the sending
-// times. The bytes of an answer tell what sending took, else the duration of a hit does. Guards against taking a large answer
-// for a full link.
-func (d *Director) learnTimings(ended *attempt, outcome Outcome) {
+// updateTimings updates the ratio of the actual time to the expected time for the class and the cache, and then the sending
+// times. The sending time is computed from the bytes of the answer if they are reported; otherwise the duration of a hit is
+// used. Guards against mistaking a large answer for a full link.
+func (d *Director) updateTimings(ended *attempt, outcome Outcome) {
 	request, class := ended.request, ended.request.class
-	byBytes := min(outcome.SendTime, outcome.Duration) // a fast endpoint takes less than computed from the bytes; 0: unknown
+	byBytes := min(outcome.SendTime, outcome.Duration) // a fast endpoint takes less time than computed from the bytes; 0: unknown
 	if byBytes > 0 {
 		request.document.sendTime = byBytes
 	}
 	ratio := float64(outcome.Duration) / float64(d.expectedSendTime(request)+attemptOverhead)
-	class.noteRatio(ratio)
-	d.noteInflation(ended.endpoint, ratio, outcome.Fill == CacheHit)
+	class.recordRatio(ratio)
+	d.recordInflation(ended.endpoint, ratio, outcome.Fill == CacheHit)
 	noFillKnown := outcome.Fill == CacheHit || outcome.Fill == FillUnknown || class.Write // writes have no hits
 	switch {
 	case d.sizeListed(request):
 		class.sendTime = smoothed(class.sendTime, d.expectedSendTime(request), smoothing)
 	case byBytes > 0:
-		request.noteSendTime(byBytes, true)
+		request.recordSendTime(byBytes, true)
 	case noFillKnown:
-		request.noteSendTime(outcome.Duration, false)
+		request.recordSendTime(outcome.Duration, false)
 	}
 }
 
-// noteSendTime takes the sending time of one answer into those of the request's class, object and document.
-func (request *openRequest) noteSendTime(taken time.Duration, byBytes bool) {
-	request.class.noteSendTime(taken, byBytes)
-	request.object.noteSendTime(taken, byBytes)
+// recordSendTime records the sending time of one answer for the request's class, object and document.
+func (request *openRequest) recordSendTime(taken time.Duration, byBytes bool) {
+	request.class.recordSendTime(taken, byBytes)
+	request.object.recordSendTime(taken, byBytes)
 	if request.document.sendTime == 0 || taken < request.document.sendTime {
 		request.document.sendTime = taken
 	}
 }
 
-// noteSendTime smooths the sending time of an object's documents. A shorter time replaces it at once, unless the time was
-// computed from bytes.
-func (record *object) noteSendTime(taken time.Duration, byBytes bool) {
+// recordSendTime updates the smoothed sending time of an object's documents. A shorter time replaces it immediately, unless the
+// time was computed from bytes.
+func (record *object) recordSendTime(taken time.Duration, byBytes bool) {
 	if record.sendTime == 0 || taken < record.sendTime && !byBytes {
 		record.sendTime = taken
 	}
 	record.sendTime = smoothed(record.sendTime, taken, smoothing)
 }
 
-// handleOverdue takes an overdue attempt as a symptom, before any timeout: its endpoint or its source is ejected if it is
+// handleOverdue handles an overdue attempt before any timeout expires. Its endpoint or its source is ejected if that is
 // unresponsive. Guards against hangs, unresponsive endpoints and dead links.
 func (d *Director) handleOverdue(now time.Duration, late *attempt) {
 	late.isOverdue = true
@@ -172,7 +173,7 @@
 	target.overdueCount++
 	if !late.hitExpected && source.role != cacheNode {
 		source.overdueCount++
-		source.noteOverdueFill(now, now-late.startedAt)
+		source.recordOverdueFill(now, now-late.startedAt)
 		if source.isUnresponsive(now) {
 			d.eject(now, source)
 		}
@@ -183,17 +184,17 @@
 	d.releaseWaiters(now, late)
 }
 
-// answerLostAt returns the time from which the answer to an attempt may be taken to be lost.
+// answerLostAt returns the time from which the answer to an attempt may be considered lost.
 func (attempt *attempt) answerLostAt() time.Duration {
 	return attempt.startedAt + lostAfterFactor*(attempt.overdueAt-attempt.startedAt)
 }
 
-// handleLostAnswer takes a long overdue answer to be lost if its endpoint has answered other attempts since. The request is
-// sent again, and the endpoint does not count as overloaded. Guards against links that lose answers. It does harm where some
-// answers take far longer than all that were seen so far.
+// handleLostAnswer treats a long overdue answer as lost if its endpoint has answered other attempts since. The request is sent
+// again, and the endpoint does not count as overloaded. Guards against links that lose answers. It is harmful if some answers
+// take far longer than all earlier ones.
 func (d *Director) handleLostAnswer(now time.Duration, late *attempt) {
-	late.answerLost = late.endpoint.lastAlive > late.startedAt
-	if !late.answerLost {
+	late.endpointNotAtFault = late.endpoint.lastAlive > late.startedAt
+	if !late.endpointNotAtFault {
 		return
 	}
 	d.answerLossShare.observe(1, smoothing)
--- a/internal/routing/latency_test.go
+++ b/internal/routing/latency_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLostAnswerIsRetried has a cache that answers others but loses one answer: the request is sent again, and the cache
-// counts neither as overloaded nor as unresponsive.
+// TestLostAnswerIsRetried has a cache that loses one answer but keeps answering other requests. The request must be sent again,
+// and the cache must not count as overloaded or unresponsive.
 func TestLostAnswerIsRetried(t *testing.T) {
 	site := newManualSite(t, 3)
 	request := site.requests[site.sendRequest(segmentedClass, 7, 0)]
@@ -16,27 +16,27 @@
 		site.serve(segmentedClass, object, 60*ms, Outcome{Fill: CacheHit})
 	}
 	if len(request.attempts) < 2 {
-		t.Errorf("%d attempts after %v, want a retry", len(request.attempts), site.now)
+		t.Errorf("got %d attempts after %v, want a retry", len(request.attempts), site.now)
 	}
 	if request.answered {
-		t.Error("the request is answered without an answer of a cache")
+		t.Error("request answered without an answer from a cache")
 	}
-	site.run(site.now + 2*ms) // the cancellation ends
+	site.run(site.now + 2*ms) // lets the cancellation complete
 	if cache.ejectedUntil > site.now {
-		t.Errorf("a lost answer ejected the cache until %v", cache.ejectedUntil)
+		t.Errorf("cache ejected until %v by a lost answer, want no ejection", cache.ejectedUntil)
 	}
 	if limit := site.director.linkLimit.max; limit < limitBefore {
-		t.Errorf("a lost answer lowered the link's limit to %.1f from %.1f", limit, limitBefore)
+		t.Errorf("link limit after a lost answer: got %.1f, want at least %.1f", limit, limitBefore)
 	}
 }
 
-// TestWritesLearnTheirSendingTime sends small writes, which are never hits: their sending time must be learned, or they are
-// rejected first under load.
-func TestWritesLearnTheirSendingTime(t *testing.T) {
+// TestSendTimeOfWrites sends small writes, which are never hits. Their sending time must still be measured, because otherwise
+// they would be the first to be rejected under load.
+func TestSendTimeOfWrites(t *testing.T) {
 	site := newManualSite(t, 3)
 	for range 20 {
 		site.serve(keyedWriteClass, 9, 40*ms, Outcome{Fill: FilledByOrigin})
 	}
 	learned := site.director.classes[keyedWriteClass].minSendTime
-	site.failIf(learned > 80*ms, "writes of 40 ms are expected to take %v, want 80 ms at most", learned)
+	site.failIf(learned > 80*ms, "expected sending time of writes that take 40 ms: got %v, want at most 80 ms", learned)
 }
--- a/internal/routing/objects.go
+++ b/internal/routing/objects.go
@@ -1,10 +1,10 @@
 package routing
 
-// The object table: what the director knows of the objects and documents that were requested lately.
+// The object table: what the director knows about recently requested objects and documents.
 //
-// It decides which records stay in the table. It acts on every request, and once a period when it drops what is idle. It guards
-// against clients that invent objects or segments: the number of objects, of documents, and of documents of one object is
-// bounded.
+// It decides which records stay in the table. It applies on every request, and once per period when idle records are dropped.
+// It guards against clients that invent objects or segments: the numbers of objects, of documents and of documents per object
+// are bounded.
 
 import (
 	"iter"
@@ -13,68 +13,68 @@
 )
 
 const (
-	copyPresumedFor       = 8 * time.Second  // a copy that was seen is taken to be still there for this long
+	copyPresumedFor       = 8 * time.Second  // a copy that was found is assumed to remain in the cache for this long
 	objectIdleLimit       = 20 * time.Second // an object or document that was not requested for this long is dropped
-	maxObjects            = 8192             // objects in the table: minutes of requests
+	maxObjects            = 8192             // objects in the table; enough for minutes of requests
 	maxDocumentsPerObject = 512              // documents of one object
-	maxDocuments          = 4 * maxObjects   // documents of all objects together: some 10 MB
+	maxDocuments          = 4 * maxObjects   // documents of all objects together; about 10 MB
 )
 
-// object is the record of one object. An object in segments has one document for each segment.
+// object is the record of one object. An object in segments has one document per segment.
 type object struct {
 	id                 uint64
 	group              uint32        // purge group
 	requests           int           // requests so far
-	requestsWhenPlaced int           // requests so far when it was last put at the end of the table
+	requestsWhenQueued int           // value of requests when it was last moved to the end of evictionQueue
 	lastRequest        time.Duration // time of the newest request
-	sendTime           time.Duration // smoothed time of sending one of its documents; 0: unknown
+	sendTime           time.Duration // smoothed time to send one of its documents; 0: unknown
 	documents          map[uint32]*document
 	documentList       []*document // the values of documents, oldest first
 }
 
-// cachedCopy is a copy of a document that was seen at a cache.
+// cachedCopy is a copy of a document that was found at a cache.
 type cachedCopy struct {
 	endpoint *endpoint
-	seenAt   time.Duration // start of the attempt that found or made the copy
+	seenAt   time.Duration // start of the attempt that found or created the copy
 }
 
-// document is what is requested, filled and cached as one: an object, or one segment of an object in segments.
+// document is the unit of requests, fills and caching: a whole object, or one segment of an object in segments.
 type document struct {
 	key          uint64 // DocumentKey, the same at all directors
 	segment      uint32 // within its object
 	requests     Ring   // requests within HotWindow
 	lastRequest  time.Duration
 	order        []*endpoint    // the location's caches in order of preference, home first; see preferenceOrder
-	orderVersion int            // version of the endpoint list that order was made from
-	spread       []spreadShare  // shares that go to caches other than the home; the home has the rest
-	filling      *attempt       // the attempt that fills it; nil: none
-	waiters      []*openRequest // requests that wait for that fill, the first queued in front
-	copies       []cachedCopy   // copies that were seen, one a cache
-	sendTime     time.Duration  // computed from its bytes, else the shortest that was measured; 0: unknown
+	orderVersion int            // endpointVersion from which order was computed
+	spread       []spreadShare  // shares of caches other than the home; the home has the rest
+	filling      *attempt       // attempt that is filling it; nil: none
+	waiters      []*openRequest // requests that wait for that fill, in the order in which they were queued
+	copies       []cachedCopy   // copies that were found, at most one per cache
+	sendTime     time.Duration  // computed from its bytes, else the shortest measured time; 0: unknown
 }
 
 // objectStore holds the records of all objects.
 type objectStore struct {
 	objects       map[uint64]*object
-	placed        []*object // the values of objects, the one placed longest ago first
+	evictionQueue []*object // the values of objects in the order in which they were queued
 	documentCount int       // documents of all objects
 }
 
-// object returns the record of an object, and makes it where there is none. A full table evicts another object for it.
+// object returns the record of an object and creates it if there is none. If the table is full, another object is evicted.
 func (store *objectStore) object(id uint64, group uint32) *object {
 	record := store.objects[id]
 	if record == nil {
-		record = &object{id: id, group: group, requestsWhenPlaced: 1, documents: map[uint32]*document{}}
-		if len(store.placed) >= maxObjects {
+		record = &object{id: id, group: group, requestsWhenQueued: 1, documents: map[uint32]*document{}}
+		if len(store.evictionQueue) >= maxObjects {
 			store.evictOldest(nil)
 		}
-		store.objects[id], store.placed = record, append(store.placed, record)
+		store.objects[id], store.evictionQueue = record, append(store.evictionQueue, record)
 	}
 	return record
 }
 
-// document returns the record of a document, and makes it where there is none. An object that has maxDocumentsPerObject
-// documents loses them all first. Where all objects together have maxDocuments, other objects are evicted.
+// document returns the record of a document and creates it if there is none. If the object already has maxDocumentsPerObject
+// documents, they are all dropped first. If all objects together have maxDocuments, other objects are evicted.
 func (store *objectStore) document(owner *object, segment uint32, inSegments bool) *document {
 	if known := owner.documents[segment]; known != nil {
 		return known
@@ -82,7 +82,7 @@
 	if len(owner.documents) >= maxDocumentsPerObject {
 		store.dropDocuments(owner)
 	}
-	for store.documentCount >= maxDocuments && len(store.placed) > 1 {
+	for store.documentCount >= maxDocuments && len(store.evictionQueue) > 1 {
 		store.evictOldest(owner)
 	}
 	added := &document{
@@ -104,32 +104,32 @@
 	owner.documentList = nil
 }
 
-// evictOldest evicts the first object that was not requested again since it was placed; it never evicts except. An object that
-// was requested again is placed at the end (second chance), so that a stream of objects requested once does not evict hot
-// objects.
+// evictOldest evicts the first object in the queue that was not requested again since it was queued, but never the object
+// except. An object that was requested again moves to the end of the queue (second chance), so that a stream of objects
+// requested only once does not evict hot objects.
 func (store *objectStore) evictOldest(except *object) {
 	for {
-		oldest := store.placed[0]
-		store.placed = store.placed[1:]
-		if oldest != except && oldest.requests <= oldest.requestsWhenPlaced {
+		oldest := store.evictionQueue[0]
+		store.evictionQueue = store.evictionQueue[1:]
+		if oldest != except && oldest.requests <= oldest.requestsWhenQueued {
 			store.remove(oldest)
 			return
 		}
-		oldest.requestsWhenPlaced = oldest.requests
-		store.placed = append(store.placed, oldest)
+		oldest.requestsWhenQueued = oldest.requests
+		store.evictionQueue = append(store.evictionQueue, oldest)
 	}
 }
 
-// remove drops the records of an object and its documents, but not its entry in placed.
+// remove drops the records of an object and its documents, but not its entry in evictionQueue.
 func (store *objectStore) remove(record *object) {
 	delete(store.objects, record.id)
 	store.documentCount -= len(record.documentList)
 }
 
 // expire drops the objects and documents that were not requested within objectIdleLimit. An object that is still requested
-// loses its idle documents, as a broadcast goes on for hours.
+// loses its idle documents, because a broadcast continues for hours with ever new segments.
 func (store *objectStore) expire(now time.Duration) {
-	store.placed = slices.DeleteFunc(store.placed, func(record *object) bool {
+	store.evictionQueue = slices.DeleteFunc(store.evictionQueue, func(record *object) bool {
 		store.expireDocuments(now, record)
 		idle := now-record.lastRequest > objectIdleLimit
 		if idle {
@@ -151,10 +151,10 @@
 	})
 }
 
-// allDocuments goes through the documents of all objects in the order of the table.
+// allDocuments iterates over the documents of all objects in the order of the table.
 func (store *objectStore) allDocuments() iter.Seq[*document] {
 	return func(yield func(*document) bool) {
-		for _, record := range store.placed {
+		for _, record := range store.evictionQueue {
 			for _, doc := range record.documentList {
 				if !yield(doc) {
 					return
@@ -164,9 +164,9 @@
 	}
 }
 
-// noteCopy updates the known copies of a document after an outcome from a cache: whether the cache is known to have a copy, or
-// to have none. It also drops the copies at endpoints that are not ready.
-func (doc *document) noteCopy(cache *endpoint, present, absent bool, seenAt time.Duration) {
+// updateCopies updates the known copies of a document after an outcome from a cache. present and absent state whether the cache
+// is known to have a copy or to have none. It also drops the copies at endpoints that are not ready.
+func (doc *document) updateCopies(cache *endpoint, present, absent bool, seenAt time.Duration) {
 	doc.copies = slices.DeleteFunc(doc.copies, func(known cachedCopy) bool {
 		return known.endpoint == cache && (present || absent) || !known.endpoint.ready
 	})
@@ -175,7 +175,7 @@
 	}
 }
 
-// probablyCached reports whether a cache very probably has the document.
+// probablyCached reports whether a cache very probably has a usable copy of the document.
 func (d *Director) probablyCached(now time.Duration, request *openRequest, cache *endpoint) bool {
 	for _, known := range request.document.copies {
 		if known.endpoint == cache {
@@ -185,8 +185,8 @@
 	return false
 }
 
-// probablyUsable reports whether a copy very probably still is in its cache and may be served: it was seen within
-// copyPresumedFor, is fresh, and neither a purge nor a restart of the cache came since.
+// probablyUsable reports whether a copy is very probably still in its cache and may be served: it was found within
+// copyPresumedFor, is fresh, and neither a purge nor a restart of the cache has happened since.
 func (d *Director) probablyUsable(now time.Duration, request *openRequest, known cachedCopy) bool {
 	age, freshFor := now-known.seenAt, request.class.FreshFor
 	switch {
@@ -200,7 +200,7 @@
 	return known.seenAt > d.lastPurge(request.object)
 }
 
-// cachedElsewhere reports whether a cache other than this one probably has the document.
+// cachedElsewhere reports whether a cache other than the given one probably has the document.
 func (d *Director) cachedElsewhere(now time.Duration, request *openRequest, cache *endpoint) bool {
 	return slices.ContainsFunc(request.document.copies, func(known cachedCopy) bool {
 		return known.endpoint != cache && d.probablyCached(now, request, known.endpoint)
--- a/internal/routing/outcome.go
+++ b/internal/routing/outcome.go
@@ -1,15 +1,15 @@
 package routing
 
-// Outcomes: what is learned from the end of an attempt, and what follows for its request.
+// Outcomes: what the director records at the end of an attempt, and what happens to its request.
 //
-// It decides whether a request has ended, backs off or is retried, and whether an outcome counts against the cache, the source
-// or the director's own host. It acts on the end of each attempt. It guards against blaming an endpoint for a fault of its
-// source, of the request or of the connection.
+// It decides whether a request ends, backs off or is retried, and whether an outcome counts against the cache, the source or
+// the director's own host. It applies at the end of each attempt. It guards against counting a failure against an endpoint if
+// the source, the request or the connection is the cause.
 
 import "time"
 
-// HandleOutcome takes the end of an attempt: it learns from the outcome, then ends the request, retries it or has it back off.
-// An attempt that is unknown or has ended already is ignored.
+// HandleOutcome processes the end of an attempt: it records the outcome, then ends the request, retries it or lets it back off.
+// An attempt that is unknown or has already ended is ignored.
 func (d *Director) HandleOutcome(now time.Duration, id uint32, outcome Outcome) {
 	request := d.requests[id]
 	if request == nil || outcome.Attempt >= len(request.attempts) || request.attempts[outcome.Attempt].finished {
@@ -23,13 +23,13 @@
 	if outcome.Result == LocalError {
 		d.undoAttempt(ended)
 	} else {
-		d.learn(now, ended, outcome)
+		d.recordOutcome(now, ended, outcome)
 		d.adaptLimits(ended, outcome)
 	}
 	d.releaseWaiters(now, ended)
 	switch {
 	case request.state == stateEnded:
-		d.forgetRequest(request)
+		d.removeIfDone(request)
 	case outcome.Final || outcome.Result == Served:
 		d.setState(now, request, stateEnded)
 	case request.openAttempts == 0 && outcome.Result == LocalError:
@@ -39,55 +39,56 @@
 	}
 }
 
-// learn takes an outcome as evidence on the cache, the source, the document and the class.
-func (d *Director) learn(now time.Duration, ended *attempt, outcome Outcome) {
+// recordOutcome updates the state of the cache, the source, the document and the class with an outcome.
+func (d *Director) recordOutcome(now time.Duration, ended *attempt, outcome Outcome) {
 	request, cache, source := ended.request, ended.endpoint, ended.source
 	switch {
 	case outcome.Result == Served:
-		d.learnServed(now, ended, outcome)
+		d.recordServed(now, ended, outcome)
 	case outcome.Fill.sourceFailed():
-		d.learnSourceFailure(now, ended, outcome)
+		d.recordSourceFailure(now, ended, outcome)
 	case d.isUnexplainedReject(ended, outcome):
-		cache.noteAlive(now)
-		d.noteUnexplainedReject(now, source)
+		cache.recordAlive(now)
+		d.recordUnexplainedReject(now, source)
 	case outcome.Result == NotCached || outcome.Result == Rejected || outcome.Result == Failed && request.unproven:
-		cache.noteAlive(now) // it answered; the failure of an unproven client's request may be the fault of the request
+		cache.recordAlive(now) // it answered; if the client is unproven, the request itself may have caused the failure
 	default:
-		d.learnFailure(now, ended, outcome.Result)
+		d.recordAttemptFailure(now, ended, outcome.Result)
 	}
 	if outcome.Fill == CacheHit && source.role != cacheNode {
-		source.refund(ended.chargedSourceWork) // the cache never requested it
+		source.refund(ended.chargedSourceWork) // the cache never requested a fill from the source
 	}
 	present := outcome.Result == Served && !request.class.Write && cache.role == cacheNode
-	request.document.noteCopy(cache, present, outcome.Result == NotCached, ended.startedAt)
+	request.document.updateCopies(cache, present, outcome.Result == NotCached, ended.startedAt)
 }
 
-// learnServed learns from a success: sign of life, load and latency of the cache, and of the source where that filled.
-func (d *Director) learnServed(now time.Duration, ended *attempt, outcome Outcome) {
+// recordServed records a served attempt: sign of life, load and latency of the cache, and of the source if it filled the
+// document.
+func (d *Director) recordServed(now time.Duration, ended *attempt, outcome Outcome) {
 	request, cache, source := ended.request, ended.endpoint, ended.source
 	d.answerLossShare.observe(0, smoothing)
-	cache.noteAlive(now)
+	cache.recordAlive(now)
 	cache.served.Add(now, 1)
 	cache.sendWork.Add(now, request.class.sendTime.Seconds())
 	if !outcome.DirectorStalled {
-		d.learnTimings(ended, outcome)
+		d.updateTimings(ended, outcome)
 	}
-	d.noteFillOrHit(ended, outcome.Fill)
-	d.noteExplainedFill(ended, outcome.Fill)
+	d.recordFillOrHit(ended, outcome.Fill)
+	d.recordExplainedFill(ended, outcome.Fill)
 	if outcome.Fill == Filled || outcome.Fill == FilledByOrigin {
-		source.noteAlive(now)
+		source.recordAlive(now)
 		source.sendWork.Add(now, request.class.sendTime.Seconds())
-		beyondSending := outcome.Duration - d.expectedSendTime(request) // shows a slow link, which the first byte does not
-		source.noteFill(now, max(outcome.SourceWait, beyondSending, time.Millisecond))
+		beyondSending := outcome.Duration - d.expectedSendTime(request) // unlike the first byte, this reveals a slow link
+		source.recordFillLatency(now, max(outcome.SourceWait, beyondSending, time.Millisecond))
 	}
 }
 
-// learnSourceFailure learns from a fill that failed at its source. The cache is healthy: its limit stays, and it may be tried
-// again with another source.
-func (d *Director) learnSourceFailure(now time.Duration, ended *attempt, outcome Outcome) {
+// recordSourceFailure records a fill that failed at its source. The cache is healthy: its limit is unchanged, and it may be
+// tried again with another source.
+func (d *Director) recordSourceFailure(now time.Duration, ended *attempt, outcome Outcome) {
 	source := ended.source
-	ended.endpoint.noteAlive(now)
-	ended.answerLost = true
+	ended.endpoint.recordAlive(now)
+	ended.endpointNotAtFault = true
 	if source.role == cacheNode {
 		return
 	}
@@ -98,16 +99,16 @@
 	d.detectOutlier(now, source)
 }
 
-// learnFailure learns from an attempt that failed at the cache or on the way to it. An attempt that was cancelled or obsolete
-// is no evidence, nor is one that timed out while many attempts at its source are overdue.
-func (d *Director) learnFailure(now time.Duration, ended *attempt, result Result) {
+// recordAttemptFailure records an attempt that failed at the cache or on the way to it. Cancelled and obsolete attempts do not
+// count, and neither does a timeout while many attempts at the source are overdue.
+func (d *Director) recordAttemptFailure(now time.Duration, ended *attempt, result Result) {
 	cache := ended.endpoint
 	switch result {
 	case ConnectFailed:
-		d.noteConnectFailed(now, cache)
+		d.recordConnectFailed(now, cache)
 	case Reset, NotSent:
-		// If the cache answered other attempts since, only the connection broke, and the cache may be tried again.
-		ended.answerLost = ended.answerLost || cache.lastAlive > ended.startedAt
+		// If the cache has answered other attempts since, only the connection broke, and the cache may be tried again.
+		ended.endpointNotAtFault = ended.endpointNotAtFault || cache.lastAlive > ended.startedAt
 	case Failed:
 	case TimedOut:
 		if ended.isOverdue && ended.source.overdueCount >= unresponsiveAfterOverdue {
@@ -116,13 +117,13 @@
 	default:
 		return
 	}
-	cache.noteFailure(now)
+	cache.recordFailure(now)
 	d.detectOutlier(now, cache)
 }
 
-// noteConnectFailed takes a cache that refused a connection for dead, however lately it answered. The cache loses its copies
-// and begins a slow start.
-func (d *Director) noteConnectFailed(now time.Duration, cache *endpoint) {
+// recordConnectFailed considers a cache that refused a connection dead, however recently it answered. Its copies are considered
+// lost, and it begins a slow start.
+func (d *Director) recordConnectFailed(now time.Duration, cache *endpoint) {
 	cache.emptySince, cache.lastAlive = now, now-minOverdueWait
 	d.beginSlowStart(now, cache, now)
 	cache.overdueCount++
--- a/internal/routing/policy_test.go
+++ b/internal/routing/policy_test.go
@@ -9,9 +9,10 @@
 	"testing"
 )
 
-// TestPolicyListsEveryFileThatDecides compares the policy list of deploy/balancer.toml with the folder: a file that says in
-// its header what it decides is listed once, the path of a request first, and no other file is.
-func TestPolicyListsEveryFileThatDecides(t *testing.T) {
+// TestPolicyListMatchesDecisionFiles compares the policy list in deploy/balancer.toml with the files of this package. A file
+// whose header states what it decides must be listed once, no other file may be listed, and request.go, the path of a request,
+// must come first.
+func TestPolicyListMatchesDecisionFiles(t *testing.T) {
 	settings, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +26,7 @@
 		listed = append(listed, strings.Trim(quoted, `"`))
 	}
 	if listed[0] != "internal/routing/request.go" {
-		t.Errorf("the list begins with %s, not with the path of a request", listed[0])
+		t.Errorf("policy list begins with %s, want internal/routing/request.go", listed[0])
 	}
 	files, err := filepath.Glob("*.go")
 	if err != nil {
@@ -43,6 +44,6 @@
 	}
 	slices.Sort(listed)
 	if !slices.Equal(listed, deciding) {
-		t.Errorf("policy lists\n%s\nfiles that decide are\n%s", strings.Join(listed, "\n"), strings.Join(deciding, "\n"))
+		t.Errorf("policy list: got\n%s\nwant the files that decide:\n%s", strings.Join(listed, "\n"), strings.Join(deciding, "\n"))
 	}
 }
--- a/internal/routing/preference_test.go
+++ b/internal/routing/preference_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestSegmentsOfAnObjectAreAtAllCaches has two directors that see an object once each, so that neither can find that it is
-// hot. Its segments must not overload one cache and one pair of parents all the same, and both must send a segment to the
-// same place.
-func TestSegmentsOfAnObjectAreAtAllCaches(t *testing.T) {
-	caches, parents, alike := map[uint32]int{}, map[uint32]int{}, 0
+// TestSegmentsSpreadAcrossCaches has two directors that each request every segment of an object once, so that neither can
+// detect that it is hot. The segments must still not overload one cache and one pair of parents, and both directors must send
+// each segment to the same cache and source.
+func TestSegmentsSpreadAcrossCaches(t *testing.T) {
+	caches, parents, sameDestination := map[uint32]int{}, map[uint32]int{}, 0
 	for segment := range uint32(40) {
 		var orders [2]AttemptOrder
 		for i := range orders { // two directors
@@ -19,30 +19,30 @@
 			orders[i] = site.lastOrder
 		}
 		if orders[0].Node == orders[1].Node && orders[0].Source == orders[1].Source {
-			alike++
+			sameDestination++
 		}
 		caches[orders[0].Node]++
 		parents[orders[0].Source]++
 	}
 	if len(caches) < 4 {
-		t.Errorf("segments at caches %v, want at all 4", caches)
+		t.Errorf("segments at caches %v, want all 4 caches", caches)
 	}
 	if len(parents) < 2 {
-		t.Errorf("segments filled from %v, want from both parents", parents)
+		t.Errorf("segments filled from %v, want both parents", parents)
 	}
-	if alike < 40 {
-		t.Errorf("%d of 40 segments go to the same place from both directors, want all", alike)
+	if sameDestination < 40 {
+		t.Errorf("%d of 40 segments sent to the same cache and source by both directors, want 40", sameDestination)
 	}
 	for cache, segments := range caches {
 		if segments > 20 {
-			t.Errorf("%d of 40 segments at cache %d, want 20 at most", segments, cache)
+			t.Errorf("%d of 40 segments at cache %d, want at most 20", segments, cache)
 		}
 	}
 }
 
-// TestListedCapacitiesShareTheObjects checks that where capacities are listed a cache is home to as much of the objects as
-// its capacity is of all, and takes so much more until it is above the bound of its load.
-func TestListedCapacitiesShareTheObjects(t *testing.T) {
+// TestHomesFollowListedCapacities checks that, with listed capacities, the share of objects for which a cache is the home
+// equals its share of the total capacity, and that its load bound is scaled accordingly.
+func TestHomesFollowListedCapacities(t *testing.T) {
 	settings := testSettings()
 	settings.CapacitiesListed = true
 	site := emptySite(1, settings)
@@ -54,14 +54,14 @@
 		Endpoint{Node: 11, State: Ready, Zone: 1, Capacity: 6},
 		Endpoint{Node: 12, State: Ready, Zone: 1, Capacity: 4})
 
-	homes := map[uint32]float64{} // objects by home
+	homes := map[uint32]float64{} // number of objects by home
 	for object := range uint64(3000) {
 		doc := site.director.document(site.director.object(object+1, 0), 0, false)
 		homes[site.director.preferenceOrder(doc)[0].id]++
 	}
 	for id, want := range map[uint32]float64{10: 500, 11: 1500, 12: 1000} {
 		if math.Abs(homes[id]-want) > 0.15*want {
-			t.Errorf("%d is home to %v of 3000 objects, want about %v", id, homes[id], want)
+			t.Errorf("cache %d is home to %v of 3000 objects, want about %v", id, homes[id], want)
 		}
 	}
 
@@ -69,9 +69,9 @@
 	small.inFlight, big.inFlight = 4, 4
 	record := &openRequest{class: site.director.classes[segmentedClass], object: site.director.object(1, 0), document: &document{}}
 	if got := site.director.chooseEndpoint(0, record, big, site.director.preferenceOrder(record.document)); got != big {
-		t.Error("the request does not go to the larger cache, which is within its bound")
+		t.Error("request not sent to the larger cache, which is within its bound")
 	}
 	if got := site.director.chooseEndpoint(0, record, small, site.director.preferenceOrder(record.document)); got == small {
-		t.Error("the request goes to the smaller cache, which is above its bound")
+		t.Error("request sent to the smaller cache, which is above its bound")
 	}
 }
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -1,10 +1,10 @@
 package routing
 
-// Requests: the path of each request from its arrival to its one final answer.
+// Requests: the path of each request from its arrival to its final answer.
 //
-// It decides what becomes of a request, by the steps of route. It acts on each arrival, on the end of each attempt and on the
-// timers of a request. It guards against requests without an answer: a request has one deadline, and only setState changes
-// its state.
+// It decides what happens to a request, in the steps of route. It applies on each arrival, at the end of each attempt and on
+// the timers of a request. It guards against requests that get no answer: each request has a single deadline, and only setState
+// changes its state.
 
 import (
 	"slices"
@@ -12,9 +12,9 @@
 )
 
 const (
-	answerMargin  = 25 * time.Millisecond // the last answer leaves this long before the deadline, as a busy processor is late
-	fillWaitShare = 0.4                   // share of its time until the deadline that a request may wait for another request's fill
-	periodToken   = 0                     // token of the period's timer; the tokens of requests begin at 1
+	answerMargin  = 25 * time.Millisecond // the final answer is sent this long before the deadline, to allow for a busy processor
+	fillWaitShare = 0.4                   // a request may wait for another request's fill for this fraction of the time until its deadline
+	periodToken   = 0                     // timer token of the period; tokens of requests begin at 1
 )
 
 // requestState is the state of a request.
@@ -22,14 +22,14 @@
 
 const (
 	stateArrived    requestState = iota // not routed yet
-	stateQueued                         // waits for another request's fill of the same document
+	stateQueued                         // waiting for another request's fill of the same document
 	stateInFlight                       // an attempt is in flight
 	stateCancelling                     // its attempt is being cancelled; a retry follows
-	stateBackoff                        // waits to be sent again after a local error
-	stateEnded                          // the one final answer is given, or the client has gone
+	stateBackoff                        // waiting to be sent again after a local error
+	stateEnded                          // the final answer was given, or the client has gone
 )
 
-// openRequest is a client's request, from its arrival until it has ended and none of its attempts is in flight.
+// openRequest is a client's request from its arrival until it has ended and has no attempt in flight.
 type openRequest struct {
 	id              uint32
 	token           uint32 // token of its timers
@@ -41,20 +41,20 @@
 	sizeKB          float64 // 0: unknown
 	arrivedAt       time.Duration
 	deadline        time.Duration
-	maxFillWait     time.Duration // longest wait for another request's fill, from its arrival
+	maxFillWait     time.Duration // maximum wait for another request's fill, from its arrival
 	unproven        bool          // see Request.Unproven
 	attempts        []*attempt    // by number
 	openAttempts    int           // attempts in flight
-	backoffEnds     time.Duration // time at which it is sent again; only in stateBackoff
+	backoffEnds     time.Duration // time at which it is sent again; valid only in stateBackoff
 	firstUnresolved *attempt      // first attempt that may have been executed; nil: none
 }
 
 // requestTable holds the requests that have not ended or have attempts in flight.
 type requestTable struct {
 	requests        map[uint32]*openRequest
-	requestsByToken map[uint32]*openRequest // the requests that have not ended
+	requestsByToken map[uint32]*openRequest // requests that have not ended
 	lastToken       uint32
-	inFlight        []*attempt // attempts of all requests, the earliest first
+	inFlight        []*attempt // attempts of all requests, in the order in which they started
 	requestRing     Ring       // requests that arrived within HotWindow
 }
 
@@ -67,7 +67,7 @@
 	}
 }
 
-// HandleRequest takes a client's request. The request gets one final answer: an attempt that is served, Reject or Fail.
+// HandleRequest processes a client's request. The request gets exactly one final answer: a served attempt, Reject or Fail.
 func (d *Director) HandleRequest(now time.Duration, arrived Request) {
 	d.lastToken++
 	request := &openRequest{
@@ -88,7 +88,7 @@
 	d.route(now, request)
 }
 
-// countRequest finds or makes the records of a request's object and document, and counts the request in them.
+// countRequest finds or creates the records of a request's object and document, and counts the request in them.
 func (d *Director) countRequest(now time.Duration, request *openRequest, arrived Request) {
 	request.object = d.object(arrived.Object, arrived.Group)
 	request.document = d.document(request.object, arrived.Part, request.class.SplitInParts)
@@ -99,22 +99,22 @@
 	d.requestRing.Add(now, 1)
 }
 
-// destination is where an attempt goes.
+// destination states where an attempt is sent.
 type destination struct {
 	endpoint     *endpoint // nil: no endpoint is fit
-	source       *endpoint // who fills a miss; nil: nobody
-	onlyIfCached bool      // the source serves only what it has cached
-	bypass       bool      // the endpoint is the source itself, as no cache is fit
+	source       *endpoint // endpoint that fills a miss; nil: none
+	onlyIfCached bool      // the source may serve only a cached copy
+	bypass       bool      // the endpoint is the source itself, because no cache is fit
 }
 
-// route takes the next step of a request that is not in flight: it sends an attempt, queues the request for another request's
-// fill, or gives up. Every attempt starts here, the first one and each retry.
+// route performs the next step of a request that is not in flight: it starts an attempt, queues the request until another
+// request's fill ends, or rejects or fails it. Every attempt begins here, the first one and each retry.
 func (d *Director) route(now time.Duration, request *openRequest) {
 	order := d.preferenceOrder(request.document)
 	preferred := d.pickBySpread(request, order)
 	to := d.chooseTarget(now, request, preferred, order)
 	if to.endpoint == nil {
-		d.giveUp(now, request)
+		d.rejectOrFail(now, request)
 		return
 	}
 	hit := d.probablyCached(now, request, to.endpoint)
@@ -122,8 +122,8 @@
 		return
 	}
 	cachedOnly := !hit && d.mustNotFill(request, to)
-	if cachedOnly && !d.mayAskCachedOnly(now, request, to) {
-		d.giveUp(now, request)
+	if cachedOnly && !d.mayTryCachedOnly(now, request, to) {
+		d.rejectOrFail(now, request)
 		return
 	}
 	if to.source == nil || cachedOnly && !to.onlyIfCached {
@@ -141,9 +141,9 @@
 	d.startAttempt(now, next, d.orderFor(now, next, cachedOnly, order))
 }
 
-// chooseTarget returns the cache that the next attempt of a request goes to, and its source. Where no cache is fit, the
-// attempt may bypass the caches and go to the source itself. Both choices are made in any case, as each adds to the slow start
-// tokens of the endpoints that it considers.
+// chooseTarget returns the cache for the next attempt of a request, and the source of that attempt. If no cache is fit, the
+// attempt may bypass the caches and go to the source. Both choices are always made, because each updates the slow start tokens
+// of the endpoints that it considers.
 func (d *Director) chooseTarget(now time.Duration, request *openRequest, preferred *endpoint, order []*endpoint) destination {
 	to := destination{endpoint: d.chooseEndpoint(now, request, preferred, order)}
 	to.source, to.onlyIfCached = d.chooseSource(now, request)
@@ -157,25 +157,25 @@
 	return to
 }
 
-// mayBypassCaches reports whether a request may go past the location's caches. A write may not, nor may any request while no
+// mayBypassCaches reports whether a request may bypass the location's caches. A write must not, and no request may while no
 // origin is listed.
 func (d *Director) mayBypassCaches(request *openRequest) bool {
 	return d.settings.bypassAllowed && !request.class.Write && d.origin != nil
 }
 
-// mustNotFill reports whether a miss of a request must not be filled: the source serves only what it has cached, or the
-// location's link is full. A write is always passed on.
+// mustNotFill reports whether a miss of a request must not be filled, because the source may serve only cached copies or the
+// location's link is full. A write is always forwarded.
 func (d *Director) mustNotFill(request *openRequest, to destination) bool {
 	return !request.class.Write && (to.onlyIfCached || d.linkIsFull(request))
 }
 
-// mayAskCachedOnly reports whether an attempt may ask for a cached copy only, where a miss must not be filled: once for each
-// request, and of a warm cache.
-func (d *Director) mayAskCachedOnly(now time.Duration, request *openRequest, to destination) bool {
+// mayTryCachedOnly reports whether an attempt may request only a cached copy if a miss must not be filled. This is allowed once
+// per request, and only at a warm cache.
+func (d *Director) mayTryCachedOnly(now time.Duration, request *openRequest, to destination) bool {
 	return !request.mayHaveBeenSent() && !to.bypass && d.isWarm(now, to.endpoint)
 }
 
-// orderFor returns the order of an attempt for the executor.
+// orderFor returns the AttemptOrder of an attempt.
 func (d *Director) orderFor(now time.Duration, next *attempt, cachedOnly bool, preference []*endpoint) AttemptOrder {
 	request := next.request
 	order := AttemptOrder{
@@ -184,17 +184,18 @@
 		OnlyIfCached:  next.onlyIfCached,
 		MaxAge:        d.maxAge(now, request, cachedOnly),
 		CachePriority: d.cachePriority(now, request, next.endpoint, preference),
-		CollapseFills: d.settings.fillsCollapse,   // also with another director's fill
-		Revalidate:    request.class.FreshFor > 0, // takes effect on a hit: the document was requested before, perhaps from other directors
+		CollapseFills: d.settings.fillsCollapse,   // also with a fill that another director caused
+		Revalidate:    request.class.FreshFor > 0, // affects only hits, so the document was requested before, perhaps through others
 	}
 	if request.firstUnresolved != nil && request.class.Effect == IdempotencyKeyed {
-		order.StartBefore = request.dedupEnds() // also where the attempt waits for a connection
+		order.StartBefore = request.dedupWindowEnd() // also applies while the attempt waits for a connection
 	}
 	return order
 }
 
-// waitForFill queues a request where the same document is being filled for another one, until that fill ends or is overdue, and
-// reports whether it did. Guards against a rush on a new object that fills it once for each request and so overloads the link.
+// waitForFill queues a request if the same document is being filled for another request, until that fill ends or is overdue. It
+// reports whether the request was queued. Guards against many concurrent requests for a new object that each fill it and
+// overload the link.
 func (d *Director) waitForFill(now time.Duration, request *openRequest) bool {
 	fill := request.document.filling
 	if request.class.Write || fill == nil || fill.isOverdue {
@@ -207,7 +208,7 @@
 	return true
 }
 
-// fillWaitIsOver reports whether a request has waited as long as it may for another request's fill.
+// fillWaitIsOver reports whether a request has waited for another request's fill for as long as it may.
 func (request *openRequest) fillWaitIsOver(now time.Duration) bool {
 	return now-request.arrivedAt >= request.maxFillWait
 }
@@ -224,8 +225,9 @@
 	}
 }
 
-// giveUp ends a request with its final answer: rejected wherever a retry by the client is harmless, else failed.
-func (d *Director) giveUp(now time.Duration, request *openRequest) {
+// rejectOrFail ends a request with its final answer. It rejects the request if a retry by the client is safe, and fails it
+// otherwise.
+func (d *Director) rejectOrFail(now time.Duration, request *openRequest) {
 	d.setState(now, request, stateEnded)
 	if request.firstUnresolved == nil || request.class.mayRepeatAnywhere() {
 		d.executor.Reject(request.id, d.RetryAfter(request.id))
@@ -234,8 +236,8 @@
 	d.executor.Fail(request.id)
 }
 
-// setState changes the state of a request; no other function does. It does what leaving the old state and entering the new
-// one takes: timers, queues, cancellations.
+// setState changes the state of a request; no other function does. It also performs the actions of leaving the old state and of
+// entering the new one: timers, queues and cancellations.
 func (d *Director) setState(now time.Duration, request *openRequest, to requestState) {
 	if request.state == stateQueued {
 		request.document.removeWaiter(request)
@@ -252,16 +254,16 @@
 	case stateEnded:
 		d.cancelOpenAttempts(request)
 		delete(d.requestsByToken, request.token)
-		d.forgetRequest(request)
+		d.removeIfDone(request)
 	}
 }
 
-// removeWaiter drops a request from those that wait for the document's fill.
+// removeWaiter removes a request from those that wait for the document's fill.
 func (doc *document) removeWaiter(request *openRequest) {
 	doc.waiters = slices.DeleteFunc(doc.waiters, func(waiter *openRequest) bool { return waiter == request })
 }
 
-// cancelOpenAttempts cancels the attempts of a request that are in flight, where the settings allow that.
+// cancelOpenAttempts cancels the attempts of a request that are in flight, if the settings allow cancellation.
 func (d *Director) cancelOpenAttempts(request *openRequest) {
 	for _, open := range request.attempts {
 		if !open.finished && d.settings.cancelAllowed {
@@ -270,8 +272,8 @@
 	}
 }
 
-// forgetRequest drops a request if it has ended and has no attempt in flight.
-func (table *requestTable) forgetRequest(request *openRequest) {
+// removeIfDone drops a request if it has ended and has no attempt in flight.
+func (table *requestTable) removeIfDone(request *openRequest) {
 	if request.state == stateEnded && request.openAttempts == 0 {
 		delete(table.requests, request.id)
 	}
@@ -284,7 +286,8 @@
 	}
 }
 
-// HandleTimer takes a timer that is due: the period's, or one of a request. Timers of requests that have ended do nothing.
+// HandleTimer processes an expired timer, either of the period or of a request. Timers of requests that have ended have no
+// effect.
 func (d *Director) HandleTimer(now time.Duration, token uint32) {
 	if token == periodToken {
 		d.diffuse(now)
@@ -295,7 +298,7 @@
 	switch {
 	case request == nil:
 	case now >= request.deadline-answerMargin:
-		d.giveUp(now, request)
+		d.rejectOrFail(now, request)
 	case request.waitIsOver(now):
 		d.route(now, request)
 	default:
@@ -314,13 +317,13 @@
 	return false
 }
 
-// checkOverdue handles the attempts of a request whose answers have become overdue or are taken to be lost.
+// checkOverdue handles the attempts of a request whose answers have become overdue or are considered lost.
 func (d *Director) checkOverdue(now time.Duration, request *openRequest) {
 	for _, open := range request.attempts {
 		if !open.finished && !open.isOverdue && now >= open.overdueAt {
 			d.handleOverdue(now, open)
 		}
-		if !open.finished && !open.answerLost && now >= open.answerLostAt() {
+		if !open.finished && !open.endpointNotAtFault && now >= open.answerLostAt() {
 			d.handleLostAnswer(now, open)
 		}
 	}
--- a/internal/routing/request_test.go
+++ b/internal/routing/request_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// TestWaitForAFillIsBounded checks that a request waits for a fill for less than half of its time: rejected later it would
-// have been better sent.
-func TestWaitForAFillIsBounded(t *testing.T) {
+// TestFillWaitIsBounded checks that a request waits for a fill for less than half of its time. Otherwise it would be rejected
+// late although it could have been sent.
+func TestFillWaitIsBounded(t *testing.T) {
 	site := newManualSite(t, 3)
 	site.sendRequest(segmentedClass, 7, 0)
 	site.settings.Classes[segmentedClass].MaxDeadline = 300 * ms
 	record := site.director.requests[site.sendRequest(segmentedClass, 7, 0)]
-	site.failIf(record.state != stateQueued, "state %d on arrival, want queued", record.state)
+	site.failIf(record.state != stateQueued, "state on arrival: got %d, want queued", record.state)
 	site.run(site.now + 140*ms)
-	site.failIf(record.state != stateInFlight, "state %d near half of its time, want in flight", record.state)
+	site.failIf(record.state != stateInFlight, "state shortly before half of its time: got %d, want in flight", record.state)
 }
 
-// TestNoCacheIsReady takes all caches of the location away at once, as a release may: no answer may depend on there being
-// one.
-func TestNoCacheIsReady(t *testing.T) {
+// TestRequestsWithoutReadyCache removes all caches of the location at once, as a release may. Every request must still get an
+// answer.
+func TestRequestsWithoutReadyCache(t *testing.T) {
 	for seed := range int64(2) {
 		t.Run(fmt.Sprintf("bypass allowed %v", seed%2 == 0), func(t *testing.T) {
 			site := newTestSite(seed, 2)
@@ -28,7 +28,7 @@
 			for class := range site.settings.Classes {
 				request := site.requests[site.sendRequest(class, 5, 0)]
 				site.failIf(!request.answered && (len(request.attempts) == 0 || request.attempts[0].node > 3),
-					"class %d: neither answered at once nor sent past the caches", class)
+					"class %d: neither answered immediately nor sent to a parent or the origin", class)
 			}
 			site.run(10 * time.Second)
 			if site.violation != "" {
@@ -38,55 +38,55 @@
 	}
 }
 
-// TestFullLinkAsksForACachedCopyBeforeRejecting has a link at its limit: a request is sent to a warm cache for its cached
-// copy only, once, and is then rejected.
-func TestFullLinkAsksForACachedCopyBeforeRejecting(t *testing.T) {
+// TestFullLinkTriesCachedCopyBeforeRejecting has a link at its limit. A request must be sent to a warm cache once, for a cached
+// copy only, and must then be rejected.
+func TestFullLinkTriesCachedCopyBeforeRejecting(t *testing.T) {
 	site := newManualSite(t, 3)
 	site.director.linkLimit.max = 0
 	request := site.serve(segmentedClass, 7, 0, Outcome{Result: NotCached})
 	if len(request.attempts) != 1 || !request.answered {
-		t.Errorf("%d attempts, answered: %v; want 1 and a rejection", len(request.attempts), request.answered)
+		t.Errorf("got %d attempts, answered %v; want 1 and a rejection", len(request.attempts), request.answered)
 	}
 	if site.lastOrder.Source != site.lastOrder.Node {
-		t.Errorf("the attempt goes to %d from %d, want no source", site.lastOrder.Node, site.lastOrder.Source)
+		t.Errorf("attempt sent to %d with source %d, want no other source", site.lastOrder.Node, site.lastOrder.Source)
 	}
 
 	site.serve(freshClass, 8, 0, Outcome{Result: NotCached})
 	class := site.director.classes[freshClass]
 	if got, want := site.lastOrder.MaxAge, class.FreshFor+class.StaleGrace; got != want {
-		t.Errorf("an attempt for a cached copy takes copies up to %v old, want %v", got, want)
+		t.Errorf("maximum age of an attempt for a cached copy: got %v, want %v", got, want)
 	}
 }
 
-// TestRushOnANewObjectFillsOnce requests a new object many times at once: each document is filled once, not once for each
+// TestConcurrentRequestsFillOnce requests a new object many times at once. Each document must be filled once, and not once per
 // request.
-func TestRushOnANewObjectFillsOnce(t *testing.T) {
+func TestConcurrentRequestsFillOnce(t *testing.T) {
 	site := newManualSite(t, 4)
 	for range 11 {
 		site.sendRequest(segmentedClass, 77, 0)
 	}
-	site.failIf(site.director.fillsInFlight != 1, "%g fills of one segment are in flight, want 1", site.director.fillsInFlight)
+	site.failIf(site.director.fillsInFlight != 1, "got %g fills of one segment in flight, want 1", site.director.fillsInFlight)
 	site.now += 80 * ms
 	site.endAttempt(1, Outcome{Fill: Filled})
-	// One more may fill, where the cache that has the document is above its bound.
-	site.failIf(site.director.fillsInFlight > 1, "%g more fills after the first, want 1 at most", site.director.fillsInFlight)
+	// One more fill is allowed, because the cache that has the document may be above its load bound.
+	site.failIf(site.director.fillsInFlight > 1, "got %g more fills after the first, want at most 1", site.director.fillsInFlight)
 	done := false
 	for range 12 {
 		site.now += 50 * ms
 		done = site.endAll(0, 0, CacheHit)
 	}
-	site.failIf(!done, "requests were never released")
+	site.failIf(!done, "queued requests still unanswered")
 }
 
-// TestFillsCollapseWhereAllowed checks that every attempt asks for collapsed fills where the site has them, else none.
-func TestFillsCollapseWhereAllowed(t *testing.T) {
+// TestCollapseFillsFollowsSetting checks that attempts request collapsed fills if and only if the site supports them.
+func TestCollapseFillsFollowsSetting(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		t.Run(fmt.Sprintf("allowed %v", allowed), func(t *testing.T) {
 			site := newManualSite(t, 2)
 			site.director.settings.fillsCollapse = allowed
 			site.sendRequest(segmentedClass, 7, 0)
 			if got := site.lastOrder.CollapseFills; got != allowed {
-				t.Errorf("collapsed fills are asked for: %v, want %v", got, allowed)
+				t.Errorf("CollapseFills: got %v, want %v", got, allowed)
 			}
 		})
 	}
--- a/internal/routing/retry_test.go
+++ b/internal/routing/retry_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestKeyedRetryKeepsToItsCellAndWindow fails requests with an idempotency key, and non-idempotent ones, within and after
-// the window of 150 ms.
-func TestKeyedRetryKeepsToItsCellAndWindow(t *testing.T) {
+// TestKeyedRetryStaysInCellAndWindow fails requests with an idempotency key and non-idempotent requests, within and after the
+// deduplication window of 150 ms.
+func TestKeyedRetryStaysInCellAndWindow(t *testing.T) {
 	site := newManualSite(t, 4)
 	for _, test := range []struct {
 		class     int
@@ -22,20 +22,20 @@
 	} {
 		request := site.serve(test.class, 5, test.failAfter, Outcome{Result: Failed})
 		retried := len(request.attempts) > 1
-		site.failIf(retried != test.wantRetry, "class %d: retried after a failure at %v: %v, want %v",
+		site.failIf(retried != test.wantRetry, "class %d: retried after a failure at %v: got %v, want %v",
 			test.class, test.failAfter, retried, test.wantRetry)
 	}
 }
 
-// TestRepeatsEndWithTheirWindow checks that the retry of a request with an idempotency key states until when it may be
-// begun: within the window of the first attempt that may have been executed.
-func TestRepeatsEndWithTheirWindow(t *testing.T) {
+// TestKeyedRetryMustStartWithinDedupWindow checks that the retry of a request with an idempotency key states the time before
+// which it must begin: within the window of the first attempt that may have been executed.
+func TestKeyedRetryMustStartWithinDedupWindow(t *testing.T) {
 	site := newManualSite(t, 4)
 	for _, class := range []int{segmentedClass, keyedWriteClass} {
 		startedAt := site.now
 		id := site.sendRequest(class, 5, 0)
 		if site.lastOrder.StartBefore != 0 {
-			t.Errorf("class %d: the first attempt may begin until %v, want no bound", class, site.lastOrder.StartBefore)
+			t.Errorf("class %d: StartBefore of the first attempt: got %v, want 0", class, site.lastOrder.StartBefore)
 		}
 		site.run(site.now + 20*ms)
 		site.endAttempt(id, Outcome{Result: Failed})
@@ -44,21 +44,21 @@
 			want = startedAt + site.settings.Classes[keyedWriteClass].DedupWindow - answerMargin
 		}
 		if attempts := len(site.requests[id].attempts); attempts != 2 {
-			t.Errorf("class %d: %d attempts, want 2", class, attempts)
+			t.Errorf("class %d: got %d attempts, want 2", class, attempts)
 		}
 		if site.lastOrder.StartBefore != want {
-			t.Errorf("class %d: the retry may begin until %v, want %v", class, site.lastOrder.StartBefore, want)
+			t.Errorf("class %d: StartBefore of the retry: got %v, want %v", class, site.lastOrder.StartBefore, want)
 		}
 		site.endAttempt(id, Outcome{Attempt: 1})
 	}
 }
 
-// TestRetriesAreAShareOfTheRequests fails the first attempt of one request in so many. Where that is less than 15% of them all
-// are retried, for however long it goes on; where it is more, no more than 15% are. Guards against requests lost to single
-// failures, and against retries that multiply the load of a site that is overloaded.
-func TestRetriesAreAShareOfTheRequests(t *testing.T) {
-	const warmUp, counted = 420, 1680 // requests; what was saved up is spent in the first ones
-	const most = 0.15                 // retries for each request
+// TestRetryBudgetLimitsRetryShare fails the first attempt of one in failEvery requests. If fewer than 15% fail, all of them
+// must be retried, however long this continues. If more fail, at most 15% may be retried. Guards against requests lost to
+// single failures, and against retries that multiply the load of an overloaded site.
+func TestRetryBudgetLimitsRetryShare(t *testing.T) {
+	const warmUp, counted = 420, 1680 // number of requests; the initial tokens are spent during the warm-up
+	const maxShare = 0.15             // maximum retries per request
 	for _, failEvery := range []int{10, 7, 5, 2} {
 		t.Run(fmt.Sprintf("one in %d fails", failEvery), func(t *testing.T) {
 			site := newManualSite(t, 4)
@@ -73,18 +73,18 @@
 					retried++
 				}
 				site.endAttempt(request.ID, Outcome{Attempt: len(request.attempts) - 1, Fill: CacheHit})
-				site.run(site.now + 40*ms) // so that each failure counts
+				site.run(site.now + 40*ms) // long enough for each failure to count separately
 			}
 			got, failed := float64(retried)/counted, 1/float64(failEvery)
-			if failed < most && retried != counted/failEvery || got > most {
-				t.Errorf("%.3f of the requests were retried, %.3f failed, at most %.2f are to be retried", got, failed, most)
+			if failed < maxShare && retried != counted/failEvery || got > maxShare {
+				t.Errorf("share of retried requests %.3f with failures of %.3f, want all failures, up to %.2f", got, failed, maxShare)
 			}
 		})
 	}
 }
 
-// TestRetryBudgetIsBounded checks that a full bucket holds maxRetryBudget retries however many requests came before, and that
-// what requests earn is there for the next retries.
+// TestRetryBudgetIsBounded checks that a full bucket holds maxRetryBudget retries regardless of the number of earlier requests,
+// and that tokens added by later requests are available for the next retries.
 func TestRetryBudgetIsBounded(t *testing.T) {
 	budget := newRetryBudget()
 	for range 1000 {
@@ -95,12 +95,12 @@
 		covered++
 	}
 	if covered != maxRetryBudget {
-		t.Errorf("a full bucket covers %d retries, want %d", covered, maxRetryBudget)
+		t.Errorf("full bucket covered %d retries, want %d", covered, maxRetryBudget)
 	}
-	for range 7 { // 1.05 retries
+	for range 7 { // adds 1.05 tokens
 		budget.deposit()
 	}
 	if first, second := budget.withdraw(), budget.withdraw(); !first || second {
-		t.Errorf("after seven requests a first retry is covered: %v, a second: %v", first, second)
+		t.Errorf("after seven requests: first retry covered %v, second %v; want true, false", first, second)
 	}
 }
--- a/internal/routing/scale_bench_test.go
+++ b/internal/routing/scale_bench_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// The costs of one director at the operators' plan for two years: 580 directors before 140 caches, 330,000 requests a second.
+// The costs of one director in the operators' plan for two years: 580 directors, 140 caches and 330,000 requests per second.
 const (
 	planDirectors = 580
 	planCaches    = 140
-	planRate      = 330_000.0 / planDirectors // requests a second of one director, on average
-	planPurges    = 4.3                       // a second, each sent to every director
+	planRate      = 330_000.0 / planDirectors // average requests per second of one director
+	planPurges    = 4.3                       // per second, each sent to every director
 )
 
-// every returns the time between two events of a rate a second.
-func every(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
+// interval returns the time between two events at a rate per second.
+func interval(rate float64) time.Duration { return time.Duration(float64(time.Second) / rate) }
 
-// BenchmarkScaleDecision is a request from its arrival to its answer, with the period's share of diffusion, at the plan's
-// rate. Each is for a segment not requested before, whose endpoints have to be ranked, two to an object; the table is as
-// full as that makes it.
+// BenchmarkScaleDecision measures a request from its arrival to its answer, including the proportional cost of diffusion, at
+// the planned rate. Each request is for a new segment, with two segments per object, so the endpoints must be ranked. The
+// object table is as full as this makes it.
 func BenchmarkScaleDecision(b *testing.B) {
 	run := func(name string, directors, caches int) {
 		b.Run(name, func(b *testing.B) {
 			director := newListedDirector(directors, caches)
-			step := every(planRate)
+			step := interval(planRate)
 			now, due, id := time.Duration(0), diffusionPeriod, uint32(0)
-			one := func() {
+			serveNext := func() {
 				id++
 				serveHit(director, now, Request{ID: id, Object: uint64(id / 2), Part: id % 2, Deadline: now + 4*time.Second})
 				if now += step; now >= due {
@@ -36,12 +36,12 @@
 					due += diffusionPeriod
 				}
 			}
-			for now < objectIdleLimit+time.Second { // from here on as many leave the table as enter it
-				one()
+			for now < objectIdleLimit+time.Second { // afterwards, as requests objects leave the table as enter it
+				serveNext()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				one()
+				serveNext()
 			}
 		})
 	}
@@ -53,8 +53,8 @@
 	}
 }
 
-// filledTable returns a director at the plan's size with so many objects of one document each in its table, ten of them
-// hot, none of which is ever old enough to expire.
+// filledTable returns a director of the planned size with the given number of objects in its table, each with one document. Ten
+// of them are hot, and none ever expires.
 func filledTable(objects int) (director *Director, hot []*document) {
 	const never = time.Duration(math.MaxInt64 / 2)
 	director = newListedDirector(planDirectors, planCaches)
@@ -70,7 +70,8 @@
 	return director, hot
 }
 
-// BenchmarkScaleTableRequest is a request for an object in the table, each in turn, from its arrival to its answer.
+// BenchmarkScaleTableRequest measures a request, from its arrival to its answer, for an object in the table. The objects are
+// requested in turn.
 func BenchmarkScaleTableRequest(b *testing.B) {
 	for _, objects := range []int{512, 2048, maxObjects} {
 		b.Run(fmt.Sprintf("objects=%d", objects), func(b *testing.B) {
@@ -80,16 +81,17 @@
 			for b.Loop() {
 				id++
 				serveHit(director, now, Request{ID: id, Object: uint64(int(id)%objects + 1), Class: 1, Deadline: now + 2*time.Second})
-				now += every(planRate)
+				now += interval(planRate)
 			}
-			if len(director.placed) != objects {
-				b.Fatalf("%d objects in the table, not %d", len(director.placed), objects)
+			if len(director.evictionQueue) != objects {
+				b.Fatalf("got %d objects in the table, want %d", len(director.evictionQueue), objects)
 			}
 		})
 	}
 }
 
-// BenchmarkScaleTablePeriod is one period over so many objects, ten of them hot: what expires, is measured and is shifted.
+// BenchmarkScaleTablePeriod measures one period with the given number of objects, ten of them hot: expiry, measurement of warm
+// rates and shift of load.
 func BenchmarkScaleTablePeriod(b *testing.B) {
 	for _, objects := range []int{512, 2048, maxObjects} {
 		b.Run(fmt.Sprintf("objects=%d", objects), func(b *testing.B) {
@@ -110,23 +112,24 @@
 			for _, doc := range hot {
 				away += len(doc.spread)
 			}
-			if len(director.placed) != objects || away < len(hot) {
-				b.Fatalf("%d objects in the table, not %d; %d shares of hot ones", len(director.placed), objects, away)
+			if len(director.evictionQueue) != objects || away < len(hot) {
+				b.Fatalf("got %d objects in the table, want %d; got %d shares of hot documents", len(director.evictionQueue), objects, away)
 			}
 			b.ReportMetric(float64(away)/float64(len(hot)), "shares/hot")
 		})
 	}
 }
 
-// newDirectorRemembering returns a director that remembers so many purges when they come at the plan's rate.
+// newDirectorRemembering returns a director whose purge retention makes it remember the given number of purges at the planned
+// rate.
 func newDirectorRemembering(kept int) *Director {
 	settings := testSettings()
 	settings.PurgeRetention = time.Duration(float64(kept)/planPurges*float64(time.Second)) - purgeMargin
 	return New(settings, discardExecutor{})
 }
 
-// BenchmarkScalePurges is one second of purges at the plan's rate, with two periods that drop old ones,
-// while so many are remembered: 30 with a retention of 6 s, 15,480 with one of an hour.
+// BenchmarkScalePurges measures one second of purges at the planned rate, including two periods that drop old ones, while the
+// given number of purges is remembered: 30 with a retention of 6 s, 15,480 with a retention of one hour.
 func BenchmarkScalePurges(b *testing.B) {
 	for _, kept := range []int{16, 30, 64, 256, 1024, 4096, 15480} {
 		b.Run(fmt.Sprintf("kept=%d", kept), func(b *testing.B) {
@@ -145,7 +148,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&before)
 			director := newDirectorRemembering(kept)
-			for range 2*int(float64(kept)/planPurges) + 2 { // over twice the time: the map is as large as it gets
+			for range 2*int(float64(kept)/planPurges) + 2 { // more than twice the retention, after which the map no longer grows
 				second(director)
 			}
 			runtime.GC()
@@ -155,18 +158,18 @@
 				second(director)
 			}
 			if math.Abs(float64(len(director.objectPurges)-kept)) > 2*planPurges {
-				b.Fatalf("%d purges kept, not %d", len(director.objectPurges), kept)
+				b.Fatalf("got %d remembered purges, want about %d", len(director.objectPurges), kept)
 			}
 			b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc), "B-kept")
 		})
 	}
 }
 
-// BenchmarkScaleOut is a request that comes while so many others are in flight, none of the same object, and the answer to
-// the one that has been in flight for longest.
+// BenchmarkScaleOut measures one request and one answer while the given number of other requests is in flight, each for a
+// different object. The answer is for the request that has been in flight longest.
 func BenchmarkScaleOut(b *testing.B) {
-	for _, many := range []int{16, 64, 256, 1024, 4096} {
-		b.Run(fmt.Sprintf("out=%d", many), func(b *testing.B) {
+	for _, requests := range []int{16, 64, 256, 1024, 4096} {
+		b.Run(fmt.Sprintf("out=%d", requests), func(b *testing.B) {
 			director := newListedDirector(planDirectors, 4)
 			director.linkLimit.max = 1e9
 			for _, cache := range director.caches {
@@ -177,25 +180,25 @@
 				id++
 				director.HandleRequest(now, Request{ID: id, Object: uint64(id%maxObjects + 1), Class: 1, Deadline: now + time.Hour})
 			}
-			for range maxObjects { // all are known from here on
+			for range maxObjects { // fills the table
 				sendRequest()
 				director.HandleOutcome(now, id, Outcome{Duration: 5 * ms, Fill: CacheHit, Final: true})
 			}
-			for range many {
+			for range requests {
 				sendRequest()
-				now += every(planRate)
+				now += interval(planRate)
 			}
-			if len(director.inFlight) != many {
-				b.Fatalf("%d are out, not %d", len(director.inFlight), many)
+			if len(director.inFlight) != requests {
+				b.Fatalf("got %d requests in flight, want %d", len(director.inFlight), requests)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
 				sendRequest()
-				director.HandleOutcome(now, id-uint32(many), Outcome{Duration: 5 * ms, Fill: CacheHit, Final: true})
-				now += every(planRate)
+				director.HandleOutcome(now, id-uint32(requests), Outcome{Duration: 5 * ms, Fill: CacheHit, Final: true})
+				now += interval(planRate)
 			}
-			if len(director.inFlight) != many {
-				b.Fatalf("%d are out, not %d", len(director.inFlight), many)
+			if len(director.inFlight) != requests {
+				b.Fatalf("got %d requests in flight, want %d", len(director.inFlight), requests)
 			}
 		})
 	}
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -1,19 +1,19 @@
 package routing
 
-// Settings of a Director, and what is derived from them at its start.
+// Settings of a Director, and the values derived from them when it is created.
 
 import "time"
 
-// Effect is what executing a request more than once does.
+// Effect states the effect of executing a request more than once.
 type Effect uint8
 
 const (
-	Idempotent       Effect = iota // no more than executing it once
-	IdempotencyKeyed               // no more, where caches drop repetitions by an idempotency key
-	NonIdempotent                  // a second effect
+	Idempotent       Effect = iota // same effect as executing it once
+	IdempotencyKeyed               // same effect as executing it once, if caches drop repetitions by an idempotency key
+	NonIdempotent                  // each execution has an effect
 )
 
-// DedupScope names the caches that drop a repetition of a request with an idempotency key.
+// DedupScope states which caches drop a repetition of a request with an idempotency key.
 type DedupScope uint8
 
 const (
@@ -22,13 +22,13 @@
 	DedupCell                   // caches in the cell of the first attempt
 )
 
-// Class is a request class: what its requests have in common.
+// Class is a request class: the properties that its requests share.
 type Class struct {
-	LatencyObjective time.Duration // for an answer that takes no time to send
-	ObjectiveStretch float64       // the objective grows by this multiple of the time of sending the answer,
-	MaxDeadline      time.Duration // up to this, the timeout that the class is configured with
+	LatencyObjective time.Duration // objective of an answer that takes no time to send
+	ObjectiveStretch float64       // the objective increases by this multiple of the time to send the answer,
+	MaxDeadline      time.Duration // up to this maximum, which is the configured timeout of the class
 	Effect           Effect
-	DedupScope       DedupScope    // only for IdempotencyKeyed
+	DedupScope       DedupScope    // used only with IdempotencyKeyed
 	DedupWindow      time.Duration // time since the first attempt within which a repetition is dropped
 	FreshFor         time.Duration // 0: a copy is fresh until it is purged
 	StaleGrace       time.Duration // stale-while-revalidate window
@@ -36,49 +36,49 @@
 	Write            bool          // executed at the origin and never cached
 }
 
-// SlowStart is how much an endpoint of a tier carries after its start.
+// SlowStart states how much load an endpoint of one role can carry after its start.
 type SlowStart struct {
-	InitialShare     float64       // least share of its capacity that it has at its start
-	Duration         time.Duration // time until it has all of its capacity
-	OverloadMultiple float64       // it fails at this multiple of its present capacity,
+	InitialShare     float64       // share of its capacity that is available at its start, at least
+	Duration         time.Duration // time until its full capacity is available
+	OverloadMultiple float64       // it fails at this multiple of its current capacity,
 	Window           time.Duration // measured over this time
 }
 
-// Settings are handed to a Director at its start.
+// Settings configures a Director.
 type Settings struct {
-	Seed                            uint64 // of all random draws
-	Index                           int    // number of the director, which sets its draws apart
-	Zone                            int    // zone of the director: its location
+	Seed                            uint64 // seed of all random draws
+	Index                           int    // number of the director, which makes its draws independent of those of others
+	Zone                            int    // zone (location) of the director
 	Classes                         []Class
 	Hub                             []int         // by zone: position of its hub in the ring of hubs
 	ParentKind                      int           // Endpoint.Kind of a parent
 	OriginKind                      int           // Endpoint.Kind of an origin
-	BypassAllowed                   bool          // a request may go to a parent where no cache is fit
+	BypassAllowed                   bool          // a request may go to a parent if no cache is fit
 	CancelAllowed                   bool          // attempts may be cancelled
 	RetryAfterAllowed               bool          // a rejection may carry a Retry-After
-	MaxRetryAfter                   time.Duration // longest Retry-After
-	MaxAttempts                     int           // of one request
-	FlowKBPerSecond                 float64       // rate at which one answer is sent, in KB a second; 0: unknown
+	MaxRetryAfter                   time.Duration // maximum Retry-After
+	MaxAttempts                     int           // maximum attempts of one request
+	FlowKBPerSecond                 float64       // rate at which one answer is sent, in KB per second; 0: unknown
 	CacheSlowStart, ParentSlowStart SlowStart
-	PurgeRetention                  time.Duration // time after a purge within which older copies may still be in caches
-	Directors                       int           // directors of the deployment
-	DirectorsInZone                 int           // directors in this zone
+	PurgeRetention                  time.Duration // time after a purge during which older copies may still be in caches
+	Directors                       int           // number of directors in the deployment
+	DirectorsInZone                 int           // number of directors in this zone
 	HealthChecks                    bool          // endpoints may be health checked
 	FillFaultsReported              bool          // an answer states why a fill failed
-	FillsCollapse                   bool          // a request may wait at its cache for a fill in progress
-	CapacitiesListed                bool          // the endpoint list has capacities, in transfers at FlowKBPerSecond
+	FillsCollapse                   bool          // a cache may let a request wait for a fill in progress
+	CapacitiesListed                bool          // the endpoint list states capacities, as concurrent transfers at FlowKBPerSecond
 }
 
-// routerSettings are the settings in the form that a Director works with.
+// routerSettings holds the settings in the form used by a Director.
 type routerSettings struct {
 	zone                                            int
-	hub                                             int // position of the zone's own hub
+	hub                                             int // position of this zone's hub
 	hubs                                            int // number of hubs
 	parentKind, originKind                          int
 	cancelAllowed, retryAfterAllowed, bypassAllowed bool
 	maxRetryAfter                                   time.Duration
 	maxAttempts                                     int
-	kbPerMilli                                      float64 // KB a millisecond of one answer
+	kbPerMilli                                      float64 // rate at which one answer is sent, in KB per millisecond
 	cacheSlowStart, parentSlowStart                 SlowStart
 	purgeRetention                                  time.Duration
 	hubOf                                           []int // by zone
@@ -87,7 +87,7 @@
 	healthChecks, fillFaultsReported                bool
 }
 
-// deriveSettings converts Settings to the form that a Director works with.
+// deriveSettings converts Settings to the form used by a Director.
 func deriveSettings(given Settings) routerSettings {
 	derived := routerSettings{
 		zone:               given.Zone,
--- a/internal/routing/site_test.go
+++ b/internal/routing/site_test.go
@@ -10,47 +10,48 @@
 
 const ms = time.Millisecond
 
-// testSite is an Executor with endpoints behind it. By code of its own it checks the five rules that hold for every request:
+// testSite is an Executor that simulates the endpoints behind a director. Independently of the code under test, it checks the
+// five rules that apply to every request:
 //
-//  1. It has one final answer, by its deadline.
-//  2. It is not executed twice where that has a second effect, and has one attempt in flight at a time.
-//  3. It goes only to endpoints that are ready.
-//  4. No endpoint in slow start is sent more than it carries.
+//  1. It gets one final answer, by its deadline.
+//  2. It is not executed twice if that has a second effect, and has one attempt in flight at a time.
+//  3. It is sent only to ready endpoints.
+//  4. No endpoint in slow start is sent more than it can carry.
 //  5. It is not served from a copy older than the last purge.
 type testSite struct {
-	t                 *testing.T // reports the first violation as it happens; nil: the test reads violation
-	violation         string     // first rule or expectation that was broken; empty: none
+	t                 *testing.T // reports the first violation immediately; nil: the test reads violation
+	violation         string     // first violated rule or expectation; empty: none
 	random            *rand.Rand
 	settings          Settings
 	director          *Director
 	now               time.Duration
 	scheduled         []scheduledEvent
 	requests          map[uint32]*clientRequest
-	endpoints         map[uint32]Endpoint // as listed last
+	endpoints         map[uint32]Endpoint // latest list entries
 	purges            []purgeRecord
 	slowStartAttempts []slowStartAttempt
 	nextID            uint32       // id of the newest request
-	manual            bool         // outcomes come from the test, not by chance
-	lastOrder         AttemptOrder // of the newest attempt
-	healthChecks      []uint32     // endpoints whose health checks were ordered
+	manual            bool         // outcomes are set by the test instead of drawn at random
+	lastOrder         AttemptOrder // order of the newest attempt
+	healthChecks      []uint32     // endpoints whose health checks were requested
 }
 
 // scheduledEvent is a timer, or the outcome of an attempt.
 type scheduledEvent struct {
 	at      time.Duration
-	token   uint32   // of a timer
-	id      uint32   // of the request whose attempt ends
+	token   uint32   // token of a timer
+	id      uint32   // id of the request whose attempt ends
 	outcome *Outcome // nil: a timer
 }
 
-// clientRequest is a request with its attempts as the Executor saw them.
+// clientRequest is a request, with its attempts as passed to the Executor.
 type clientRequest struct {
 	Request
 	answered bool
 	attempts []*sentAttempt
 }
 
-// sentAttempt is an attempt as the Executor was ordered to start it.
+// sentAttempt is an attempt that the director started.
 type sentAttempt struct {
 	node, source  uint32
 	at            time.Duration
@@ -58,7 +59,7 @@
 	neverExecuted bool // its outcome proves that it was not executed
 }
 
-// purgeRecord is a purge of an object, or of a group where object is 0.
+// purgeRecord is a purge of an object, or of a group if object is 0.
 type purgeRecord struct {
 	group  uint32
 	object uint64
@@ -73,13 +74,13 @@
 
 // Classes of testSettings.
 const (
-	segmentedClass     = 0 // objects in segments, which are fresh until they are purged
-	freshClass         = 1 // objects that are fresh for 8 s
+	segmentedClass     = 0 // objects in segments, fresh until purged
+	freshClass         = 1 // objects fresh for 8 s
 	keyedWriteClass    = 2 // writes with an idempotency key
 	nonIdempotentClass = 3 // other writes
 )
 
-// testSettings returns settings of the only director of zone 1.
+// testSettings returns the settings of the only director of zone 1.
 func testSettings() Settings {
 	return Settings{
 		Seed:              7,
@@ -126,7 +127,7 @@
 	}
 }
 
-// emptySite returns a site without director and endpoints.
+// emptySite returns a site without a director and endpoints.
 func emptySite(seed int64, settings Settings) *testSite {
 	return &testSite{
 		random:    rand.New(rand.NewSource(seed)),
@@ -136,7 +137,8 @@
 	}
 }
 
-// newTestSite returns a site with an origin (1), two parents (2, 3) and some caches (10 on), two to a cell.
+// newTestSite returns a site with an origin (1), two parents (2 and 3) and the given number of caches (10 and up), two per
+// cell.
 func newTestSite(seed int64, caches int) *testSite {
 	site := emptySite(seed, testSettings())
 	site.settings.BypassAllowed = seed%2 == 0
@@ -148,7 +150,7 @@
 	return site
 }
 
-// newManualSite returns a site whose outcomes come from the test. A rule that is broken fails the test.
+// newManualSite returns a site whose outcomes are set by the test. A violated rule fails the test.
 func newManualSite(t *testing.T, caches int) *testSite {
 	site := newTestSite(1, caches)
 	site.t = t
@@ -156,7 +158,8 @@
 	return site
 }
 
-// serve sends a request, lets time pass and ends its last attempt with an outcome, if it has an attempt.
+// serve sends a request, advances the time by took and ends the last attempt of the request with an outcome, if it has an
+// attempt.
 func (site *testSite) serve(classIndex int, object uint64, took time.Duration, outcome Outcome) *clientRequest {
 	request := site.requests[site.sendRequest(classIndex, object, 0)]
 	site.run(site.now + took)
@@ -166,7 +169,7 @@
 	return request
 }
 
-// sources sends requests for objects from a first one on, and counts the sources of their attempts.
+// sources sends requests for count consecutive objects, beginning with from, and counts the sources of their attempts.
 func (site *testSite) sources(from, count uint64) map[uint32]int {
 	counts := map[uint32]int{}
 	for object := range count {
@@ -176,7 +179,7 @@
 	return counts
 }
 
-// endAll ends every attempt of at least an age, except those at one cache, and reports whether all requests are answered.
+// endAll ends every attempt that is at least age old, except those at one node, and reports whether all requests are answered.
 func (site *testSite) endAll(age time.Duration, exceptNode uint32, fill Fill) bool {
 	done := true
 	for id := range site.nextID {
@@ -212,7 +215,7 @@
 	site.director.UpdateEndpoints(site.now, entries, complete)
 }
 
-// failIf notes the first rule or expectation that is broken, and reports it where the site belongs to a test.
+// failIf records the first violated rule or expectation, and reports it if the site belongs to a test.
 func (site *testSite) failIf(broken bool, format string, args ...any) {
 	if !broken || site.violation != "" {
 		return
@@ -242,13 +245,13 @@
 	return request.ID
 }
 
-// purge has an object, or where that is 0 a group, purged some time ago.
+// purge purges an object, or a group if object is 0, as of some time ago.
 func (site *testSite) purge(group uint32, object uint64, ago time.Duration) {
 	site.purges = append(site.purges, purgeRecord{group, object, site.now - ago})
 	site.director.HandlePurge(site.now, group, object, ago)
 }
 
-// run lets time pass, with the timers and outcomes that are due.
+// run advances the time and processes the timers and outcomes that are due.
 func (site *testSite) run(until time.Duration) {
 	for event, ok := site.nextEvent(until); ok; event, ok = site.nextEvent(until) {
 		site.now = max(site.now, event.at)
@@ -263,7 +266,7 @@
 	site.checkDeadlines()
 }
 
-// nextEvent takes the earliest event that is due out of the schedule, and reports whether there is one.
+// nextEvent removes the earliest event that is due from the schedule, and reports whether there is one.
 func (site *testSite) nextEvent(until time.Duration) (next scheduledEvent, ok bool) {
 	earliest := -1
 	for i, event := range site.scheduled {
@@ -279,7 +282,7 @@
 	return next, true
 }
 
-// endAttempt reports the outcome of an attempt, unless it has ended.
+// endAttempt reports the outcome of an attempt, unless the attempt has already ended.
 func (site *testSite) endAttempt(id uint32, outcome Outcome) {
 	request := site.requests[id]
 	ended := request.attempts[outcome.Attempt]
@@ -292,7 +295,7 @@
 	case Rejected, ConnectFailed, NotSent, Obsolete, NotCached, LocalError:
 		ended.neverExecuted = true
 	}
-	if outcome.Result == LocalError { // it was not sent, so it counts nothing in a slow start
+	if outcome.Result == LocalError { // not sent, so it does not count for slow start
 		site.slowStartAttempts = slices.DeleteFunc(site.slowStartAttempts, func(s slowStartAttempt) bool {
 			return s.at == ended.at && (s.node == ended.node || s.node == ended.source)
 		})
@@ -305,18 +308,18 @@
 // checkDeadlines checks rule 1: every request is answered by its deadline.
 func (site *testSite) checkDeadlines() {
 	for id, request := range site.requests {
-		site.failIf(!request.answered && site.now > request.Deadline, "rule 1: request %d has no answer at its deadline %v", id, request.Deadline)
+		site.failIf(!request.answered && site.now > request.Deadline, "rule 1: request %d not answered by its deadline %v", id, request.Deadline)
 	}
 }
 
-// openRequest returns a request that must not be answered yet.
+// openRequest returns a request and checks that it has not been answered yet.
 func (site *testSite) openRequest(id uint32) *clientRequest {
 	request := site.requests[id]
-	site.failIf(request.answered, "rule 1: request %d is acted on after its final answer", id)
+	site.failIf(request.answered, "rule 1: executor called for request %d after its final answer", id)
 	return request
 }
 
-// StartAttempt checks the rules for an attempt and, unless outcomes come from the test, schedules its outcome.
+// StartAttempt checks the rules for an attempt. Unless outcomes are set by the test, it schedules the outcome.
 func (site *testSite) StartAttempt(id uint32, order AttemptOrder) {
 	request := site.openRequest(id)
 	site.lastOrder = order
@@ -329,10 +332,10 @@
 	}
 }
 
-// checkRepetition checks rule 2 for one more attempt of a request, and the number of its attempts.
+// checkRepetition checks rule 2 for another attempt of a request, and the number of its attempts.
 func (site *testSite) checkRepetition(request *clientRequest, order AttemptOrder) {
 	class := site.settings.Classes[request.Class]
-	site.failIf(len(request.attempts) >= site.settings.MaxAttempts, "request %d is sent too often", request.ID)
+	site.failIf(len(request.attempts) >= site.settings.MaxAttempts, "request %d exceeds the maximum number of attempts", request.ID)
 	for _, earlier := range request.attempts {
 		site.failIf(!earlier.ended, "rule 2: request %d has two attempts in flight", request.ID)
 		if earlier.ended && earlier.neverExecuted {
@@ -340,17 +343,17 @@
 		}
 		otherCell := site.endpoints[earlier.node].Cell != site.endpoints[order.Node].Cell
 		windowOver := site.now >= earlier.at+class.DedupWindow
-		site.failIf(class.Effect == NonIdempotent, "rule 2: non-idempotent request %d is sent again", request.ID)
+		site.failIf(class.Effect == NonIdempotent, "rule 2: non-idempotent request %d sent again", request.ID)
 		site.failIf(class.Effect == IdempotencyKeyed && (otherCell || windowOver),
-			"rule 2: keyed request %d is sent out of its cell or window", request.ID)
+			"rule 2: keyed request %d sent outside its cell or window", request.ID)
 	}
 }
 
-// checkEndpoints checks rules 3 and 4 for the endpoint and the source of an attempt, and that both are of the right tiers.
+// checkEndpoints checks rules 3 and 4 for the endpoint and the source of an attempt, and that both have permitted roles.
 func (site *testSite) checkEndpoints(request *clientRequest, order AttemptOrder) {
 	for _, node := range []uint32{order.Node, order.Source} {
 		listed := site.endpoints[node]
-		site.failIf(listed.State != Ready, "rule 3: %d is used while not ready", node)
+		site.failIf(listed.State != Ready, "rule 3: endpoint %d used while not ready", node)
 		if listed.StartKnown && site.now-listed.StartedAt < 15*time.Second {
 			site.checkSlowStart(listed)
 		}
@@ -358,33 +361,33 @@
 	target := site.endpoints[order.Node]
 	isCache := target.Kind == 0
 	legalBypass := site.settings.BypassAllowed && (order.Source == order.Node || order.Source == 1)
-	site.failIf(isCache && target.Zone != 1, "%d is no cache of the location", order.Node)
-	site.failIf(!isCache && !legalBypass, "no legal bypass by %d from %d", order.Node, order.Source)
+	site.failIf(isCache && target.Zone != 1, "endpoint %d is not a cache of the location", order.Node)
+	site.failIf(!isCache && !legalBypass, "bypass to endpoint %d with source %d is not allowed", order.Node, order.Source)
 
 	isWrite := site.settings.Classes[request.Class].Write
 	sourceIsCache := site.endpoints[order.Source].Kind == 0
 	site.failIf(isWrite && (order.CachePriority != 0 || sourceIsCache),
-		"write %d is cached or does not reach the origin", request.ID)
+		"write %d may be cached or does not reach the origin", request.ID)
 }
 
-// checkMaxAge checks rule 5 for an attempt, and that its maximum age is within the fresh time and the stale grace of the class.
+// checkMaxAge checks rule 5 for an attempt, and that its maximum age is within FreshFor plus StaleGrace of the class.
 func (site *testSite) checkMaxAge(request *clientRequest, order AttemptOrder) {
 	class := site.settings.Classes[request.Class]
 	site.failIf(class.FreshFor > 0 && order.MaxAge > class.FreshFor+class.StaleGrace,
-		"age %v of a class that is fresh for %v", order.MaxAge, class.FreshFor)
+		"maximum age %v in a class with FreshFor %v", order.MaxAge, class.FreshFor)
 	for _, purged := range site.purges {
 		sincePurge := site.now - purged.at
-		concerned := purged.object == request.Object || purged.object == 0 && purged.group == request.Group
-		if !concerned || class.Write || sincePurge >= site.settings.PurgeRetention {
+		matches := purged.object == request.Object || purged.object == 0 && purged.group == request.Group
+		if !matches || class.Write || sincePurge >= site.settings.PurgeRetention {
 			continue
 		}
 		unbounded := order.MaxAge == 0 && (class.FreshFor == 0 || class.FreshFor > sincePurge)
 		tooOld := order.MaxAge > max(sincePurge, time.Microsecond)
-		site.failIf(unbounded || tooOld, "rule 5: age %v will do %v after a purge", order.MaxAge, sincePurge)
+		site.failIf(unbounded || tooOld, "rule 5: maximum age %v allowed %v after a purge", order.MaxAge, sincePurge)
 	}
 }
 
-// checkSlowStart checks rule 4 for an endpoint that carries 4 requests of 100 ms at once when warm.
+// checkSlowStart checks rule 4 for an endpoint that can carry 4 concurrent requests of 100 ms each when warm.
 func (site *testSite) checkSlowStart(listed Endpoint) {
 	slowStart := site.settings.CacheSlowStart
 	if listed.Kind == 1 {
@@ -399,10 +402,10 @@
 	}
 	share := slowStart.InitialShare + (1-slowStart.InitialShare)*float64(site.now-listed.StartedAt)/float64(slowStart.Duration)
 	site.failIf(sum > 0.1+slowStart.OverloadMultiple*share*4*slowStart.Window.Seconds(),
-		"rule 4: %d in slow start is sent %.2f s of work in its window", listed.Node, sum)
+		"rule 4: endpoint %d in slow start sent %.2f s of work in a window", listed.Node, sum)
 }
 
-// scheduleOutcome draws the outcome of an attempt and its time.
+// scheduleOutcome draws the outcome and the duration of an attempt.
 func (site *testSite) scheduleOutcome(request *clientRequest, number int) {
 	outcome := &Outcome{Attempt: number}
 	took := 50*ms + time.Duration(site.random.Int63n(int64(150*ms)))
@@ -421,13 +424,13 @@
 // CancelAttempt schedules the end of a cancelled attempt.
 func (site *testSite) CancelAttempt(id uint32, number int) {
 	if number >= len(site.requests[id].attempts) {
-		site.failIf(true, "cancel of an attempt never made")
+		site.failIf(true, "cancelled attempt was never started")
 		return
 	}
 	site.scheduled = append(site.scheduled, scheduledEvent{at: site.now + ms, id: id, outcome: &Outcome{Attempt: number, Result: Cancelled}})
 }
 
-// Reject answers a request and checks rule 2: its client may send it again.
+// Reject answers a request and checks rule 2, because the client may send the request again.
 func (site *testSite) Reject(id uint32, retryAfter time.Duration) {
 	request := site.openRequest(id)
 	request.answered = true
@@ -435,9 +438,9 @@
 	mayRepeat := class.Effect == Idempotent || class.Effect == IdempotencyKeyed && class.DedupScope == DedupAll
 	for _, earlier := range request.attempts {
 		mayHaveRun := !(earlier.ended && earlier.neverExecuted)
-		site.failIf(mayHaveRun && !mayRepeat, "rule 2: request %d is rejected though it may have run", id)
+		site.failIf(mayHaveRun && !mayRepeat, "rule 2: request %d rejected although it may have been executed", id)
 	}
-	site.failIf(retryAfter > site.settings.MaxRetryAfter, "Retry-After of %v", retryAfter)
+	site.failIf(retryAfter > site.settings.MaxRetryAfter, "Retry-After %v exceeds the maximum", retryAfter)
 }
 
 // Fail answers a request.
@@ -448,5 +451,5 @@
 	site.scheduled = append(site.scheduled, scheduledEvent{at: site.now + max(wait, ms), token: token})
 }
 
-// CheckHealth remembers that a health check was ordered.
+// CheckHealth records that a health check was requested.
 func (site *testSite) CheckHealth(node uint32) { site.healthChecks = append(site.healthChecks, node) }
--- a/internal/routing/tablemodel_test.go
+++ b/internal/routing/tablemodel_test.go
@@ -4,29 +4,29 @@
 	"time"
 )
 
-// evictionRule is how a full table finds the entry to evict.
+// evictionRule states how a full table selects the entry to evict.
 type evictionRule uint8
 
 const (
-	evictFIFO         evictionRule = iota // the entry added longest ago
-	evictSecondChance                     // the entry placed longest ago; one requested again since is placed anew: as the director does
-	evictLRU                              // the entry requested longest ago
+	evictFIFO         evictionRule = iota // evicts the entry added longest ago
+	evictSecondChance                     // the director's rule: evicts the entry placed longest ago, unless it was requested since
+	evictLRU                              // evicts the entry requested longest ago
 )
 
-// tableModel models what a table of so many objects knows.
+// tableModel models the state of an object table with a given size and eviction rule.
 type tableModel struct {
 	size    int
 	rule    evictionRule
 	entries map[uint64]*entry
-	ring    *entry // head of a ring; the next to evict follows it
+	ring    *entry // head of the ring; the next entry to evict follows it
 }
 
-// entry is what a table knows of one object.
+// entry is the record of one object in a table model.
 type entry struct {
 	id                   uint64
 	requests             Ring
 	addedAt, lastRequest time.Duration
-	requestedAgain       bool // since it was placed
+	requestedAgain       bool // requested again since it was placed
 	next, prev           *entry
 }
 
@@ -37,24 +37,24 @@
 	return &tableModel{size: size, rule: rule, entries: map[uint64]*entry{}, ring: ring}
 }
 
-// unlink takes an entry out of the ring.
+// unlink removes an entry from the ring.
 func (table *tableModel) unlink(removed *entry) {
 	removed.prev.next, removed.next.prev = removed.next, removed.prev
 }
 
-// placeLast puts an entry at the end of the ring.
+// placeLast appends an entry to the end of the ring.
 func (table *tableModel) placeLast(placed *entry) {
 	placed.prev, placed.next = table.ring.prev, table.ring
 	placed.prev.next, placed.next.prev = placed, placed
 }
 
-// drop takes an entry out of the table.
+// drop removes an entry from the table.
 func (table *tableModel) drop(dropped *entry) {
 	table.unlink(dropped)
 	delete(table.entries, dropped.id)
 }
 
-// count counts a request and returns the entry that was evicted for it, nil: none.
+// count counts a request and returns the entry that was evicted for it, or nil if none was.
 func (table *tableModel) count(now time.Duration, id uint64) (evicted *entry) {
 	counted := table.entries[id]
 	switch {
@@ -81,7 +81,7 @@
 	return evicted
 }
 
-// expire drops the entries not requested within objectIdleLimit and returns how many.
+// expire drops the entries that were not requested within objectIdleLimit and returns their number.
 func (table *tableModel) expire(now time.Duration) (expired int) {
 	for oldest := table.ring.next; oldest != table.ring; {
 		next := oldest.next
@@ -94,13 +94,13 @@
 	return expired
 }
 
-// isHot reports whether an object is in the table and hot by its entry.
+// isHot reports whether an object is in the table and hot according to its entry.
 func (table *tableModel) isHot(now time.Duration, id uint64, total float64) bool {
 	known := table.entries[id]
 	return known != nil && IsHot(known.requests.Sum(now), total)
 }
 
-// requestWindow counts all requests of the newest HotWindow, without any bound.
+// requestWindow counts all requests within the latest HotWindow, without bounds on memory.
 type requestWindow struct {
 	buckets [HotWindow / loadBucketWidth][]uint64
 	counts  map[uint64]int
@@ -132,7 +132,7 @@
 	window.total++
 }
 
-// recordingExecutor is an Executor that remembers where the last attempt went.
+// recordingExecutor is an Executor that records where the last attempt was sent.
 type recordingExecutor struct {
 	discardExecutor
 	node uint32
--- a/internal/routing/tablesimulation_test.go
+++ b/internal/routing/tablesimulation_test.go
@@ -11,20 +11,20 @@
 	tableSimulationTime = 44 * time.Second
 	tableRushAt         = 20 * time.Second
 	tableRushEnds       = 40 * time.Second
-	tableObjects        = 7e9    // objects of the site
-	tableHeadRanks      = 10_000 // of these, the ranks that are drawn exactly
+	tableObjects        = 7e9    // number of objects of the site
+	tableHeadRanks      = 10_000 // number of ranks that are drawn exactly
 )
 
-// tableResult is the result of one simulation, or the sum of several. A hot period is a period and an object that was hot in
-// it by all requests for it.
+// tableResult is the result of one simulation, or the sum of several. A hot period is a pair of a period and an object that was
+// hot in it, based on all requests for it.
 type tableResult struct {
-	residence            time.Duration // mean time in the table of the entries that were evicted
-	evicted, expired     int           // entries
+	residence            time.Duration // mean time that evicted entries were in the table
+	evicted, expired     int           // number of entries
 	hot                  int           // hot periods
-	known                int           // hot periods in which the object was hot by the table, too
+	known                int           // hot periods in which the object was also hot according to the director's table
 	knownLRU             int           // the same for a table that evicts the least recently used entry
 	knownFIFO            int           // the same for a table that evicts first in first out
-	spread               int           // hot periods in which the director had shares of the object
+	spread               int           // hot periods in which the director had shares of the object at other caches
 	evictedHot           int           // entries that were evicted while hot
 	evictedHotFIFO       int           // the same for a table that evicts first in first out
 	hotRequests          int           // requests for objects that were hot in the last period
@@ -47,7 +47,7 @@
 	}
 }
 
-// tableSimulation is a director before four caches, as a site of the plan has, beside models of its table and of other tables.
+// tableSimulation is a director with four caches, like a planned site, next to models of its table and of other tables.
 type tableSimulation struct {
 	result    tableResult
 	director  *Director
@@ -59,10 +59,10 @@
 	fifo      *tableModel
 	lru       *tableModel
 	homes     map[uint64]uint32 // homes of the objects that were hot in the last period
-	residence time.Duration     // sum over the entries that were evicted
+	residence time.Duration     // total time that evicted entries were in the table
 }
 
-// newTableSimulation returns a simulation in which requests come at a rate a second, for objects of a popularity skew.
+// newTableSimulation returns a simulation with requests at a rate per second, for objects whose popularity has the given skew.
 func newTableSimulation(seed uint64, rate, skew float64) *tableSimulation {
 	settings := testSettings()
 	settings.Directors, settings.DirectorsInZone = planDirectors, 15
@@ -81,12 +81,12 @@
 	return sim
 }
 
-// simulateTable runs one simulation. From tableRushAt to tableRushEnds a rush on three new objects has 12, 8 and 5% of all
-// requests. Each other request draws one of 7 billion objects.
+// simulateTable runs one simulation. From tableRushAt to tableRushEnds, three new objects receive 12, 8 and 5% of all requests.
+// Every other request draws one of 7 billion objects.
 func simulateTable(seed uint64, rate, skew float64) tableResult {
 	sim := newTableSimulation(seed, rate, skew)
 	due := diffusionPeriod
-	for id, now := uint32(1), time.Duration(0); now < tableSimulationTime; id, now = id+1, now+every(rate) {
+	for id, now := uint32(1), time.Duration(0); now < tableSimulationTime; id, now = id+1, now+interval(rate) {
 		for ; due <= now; due += diffusionPeriod {
 			sim.endPeriod(due)
 		}
@@ -96,7 +96,7 @@
 	return sim.result
 }
 
-// endPeriod has a period end in the director and the models and counts what is hot.
+// endPeriod ends a period in the director and in the models, and counts the hot objects.
 func (sim *tableSimulation) endPeriod(due time.Duration) {
 	sim.director.HandleTimer(due, 0)
 	sim.result.expired += sim.own.expire(due)
@@ -114,16 +114,16 @@
 	}
 }
 
-// tablesAgree reports whether the director's table has the entries of its model.
+// tablesAgree reports whether the director's table has the same entries as its model.
 func (sim *tableSimulation) tablesAgree() bool {
-	same := len(sim.director.placed) == len(sim.own.entries)
-	for _, record := range sim.director.placed {
+	same := len(sim.director.evictionQueue) == len(sim.own.entries)
+	for _, record := range sim.director.evictionQueue {
 		same = same && sim.own.entries[record.id] != nil
 	}
 	return same
 }
 
-// countHot counts a period in which an object is hot by all requests, and which tables know that.
+// countHot counts a period in which an object is hot based on all requests, and the tables that detect this.
 func (sim *tableSimulation) countHot(due time.Duration, object uint64) {
 	total := float64(sim.all.total)
 	sim.homes[object] = ranked(object, sim.director.caches)[0].id
@@ -159,7 +159,7 @@
 	return object
 }
 
-// sendRequest sends a request that is served at once and counts it in the models.
+// sendRequest sends a request that is served immediately and counts it in the models.
 func (sim *tableSimulation) sendRequest(now time.Duration, id uint32, object uint64) {
 	sim.director.HandleRequest(now, Request{ID: id, Object: object, Class: 1, Deadline: now + 2*time.Second})
 	sim.director.HandleOutcome(now, id, Outcome{Duration: 20 * ms, Fill: CacheHit, Final: true})
@@ -184,8 +184,8 @@
 	}
 }
 
-// siteRate is what a director sees of the plan's demand at the largest of its 39 sites, where sites differ by a Zipf law of
-// some exponent and all have as many directors.
+// siteRate returns the request rate of a director at the largest of the 39 planned sites. The demand of the sites follows a
+// Zipf distribution with the given exponent, and all sites have the same number of directors.
 func siteRate(exponent float64) float64 {
 	const sites = 39
 	sum := 0.0
