--- a/internal/replay/adapter_test.go
+++ b/internal/replay/adapter_test.go
@@ -7,193 +7,201 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// This file is the only one of the test that names types and fields of the decision core, so that a rename there needs changes here only.
-// The words of the golden files are string constants, which renames do not touch.
+// This file is the only one of the test that uses types and fields of package routing, so that a rename there requires changes
+// only here. Words that appear in the golden files are string constants, which are independent of identifiers.
 
-// ending is the result of an attempt or a health check, as an index of endings.
-type ending int
+// resultKind is the result of an attempt or a health check. It is an index into results.
+type resultKind int
 
 const (
-	done ending = iota
-	failed
-	full
-	timedOut
-	noConnect
-	unsent
-	reset
-	cancelled
-	moot
-	miss
-	localError
+	resultServed resultKind = iota
+	resultFailed
+	resultRejected
+	resultTimedOut
+	resultConnectFailed
+	resultNotSent
+	resultReset
+	resultCancelled
+	resultObsolete
+	resultNotCached
+	resultLocalError
 )
 
-var endings = [...]struct {
-	name string
-	core routing.Result
+var results = [...]struct {
+	name          string
+	routingResult routing.Result
 }{
-	done:       {"done", routing.Served},
-	failed:     {"failed", routing.Failed},
-	full:       {"full", routing.Rejected},
-	timedOut:   {"timed out", routing.TimedOut},
-	noConnect:  {"no connect", routing.ConnectFailed},
-	unsent:     {"unsent", routing.NotSent},
-	reset:      {"reset", routing.Reset},
-	cancelled:  {"cancelled", routing.Cancelled},
-	moot:       {"moot", routing.Obsolete},
-	miss:       {"miss", routing.NotCached},
-	localError: {"local error", routing.LocalError},
-}
-
-// fill is the cache status of a response, as an index of fills.
-type fill int
+	resultServed:        {"done", routing.Served},
+	resultFailed:        {"failed", routing.Failed},
+	resultRejected:      {"full", routing.Rejected},
+	resultTimedOut:      {"timed out", routing.TimedOut},
+	resultConnectFailed: {"no connect", routing.ConnectFailed},
+	resultNotSent:       {"unsent", routing.NotSent},
+	resultReset:         {"reset", routing.Reset},
+	resultCancelled:     {"cancelled", routing.Cancelled},
+	resultObsolete:      {"moot", routing.Obsolete},
+	resultNotCached:     {"miss", routing.NotCached},
+	resultLocalError:    {"local error", routing.LocalError},
+}
+
+// cacheStatus is the cache status of a response. It is an index into cacheStatuses.
+type cacheStatus int
 
 const (
-	untold fill = iota
-	hit
-	filled
-	filledByOrigin
-	joined
-	stale
-	sourceRefused
-	sourceUnreached
-	sourceLacks
-	noPlace
-	originFailed
+	statusUnknown cacheStatus = iota
+	statusHit
+	statusFilled
+	statusFilledByOrigin
+	statusCollapsed
+	statusStale
+	statusSourceRejected
+	statusSourceUnreachable
+	statusSourceMiss
+	statusFillsFull
+	statusOriginFailed
 )
 
-var fills = [...]struct {
-	name string
-	core routing.Fill
+var cacheStatuses = [...]struct {
+	name        string
+	routingFill routing.Fill
 }{
-	untold:          {"untold", routing.FillUnknown},
-	hit:             {"hit", routing.CacheHit},
-	filled:          {"filled", routing.Filled},
-	filledByOrigin:  {"filled by origin", routing.FilledByOrigin},
-	joined:          {"joined", routing.Collapsed},
-	stale:           {"stale", routing.ServedStale},
-	sourceRefused:   {"source refused", routing.SourceRejected},
-	sourceUnreached: {"source unreached", routing.SourceUnreachable},
-	sourceLacks:     {"source lacks", routing.SourceMiss},
-	noPlace:         {"no place", routing.FillsFull},
-	originFailed:    {"origin failed", routing.OriginFailed},
-}
-
-// listing is the state of a machine in the endpoint list, as an index of listings.
-type listing int
+	statusUnknown:           {"untold", routing.FillUnknown},
+	statusHit:               {"hit", routing.CacheHit},
+	statusFilled:            {"filled", routing.Filled},
+	statusFilledByOrigin:    {"filled by origin", routing.FilledByOrigin},
+	statusCollapsed:         {"joined", routing.Collapsed},
+	statusStale:             {"stale", routing.ServedStale},
+	statusSourceRejected:    {"source refused", routing.SourceRejected},
+	statusSourceUnreachable: {"source unreached", routing.SourceUnreachable},
+	statusSourceMiss:        {"source lacks", routing.SourceMiss},
+	statusFillsFull:         {"no place", routing.FillsFull},
+	statusOriginFailed:      {"origin failed", routing.OriginFailed},
+}
+
+// listedState is the state of a machine in the endpoint list. It is an index into listedStates.
+type listedState int
 
 const (
-	listedGone listing = iota
+	listedGone listedState = iota
 	listedReady
 	listedDraining
 )
 
-var listings = [...]routing.State{listedGone: routing.Gone, listedReady: routing.Ready, listedDraining: routing.Draining}
-
-// entry is a machine in the endpoint list.
-type entry struct {
-	machine uint32
-	listing listing
-	started time.Duration // start time; without meaning unless known is set
-	known   bool
-	kind    int
-	zone    int
-	cell    int
-	size    float64
+var listedStates = [...]routing.State{listedGone: routing.Gone, listedReady: routing.Ready, listedDraining: routing.Draining}
+
+// listEntry describes a machine in the endpoint list.
+type listEntry struct {
+	machine    uint32
+	state      listedState
+	startedAt  time.Duration // valid only if startKnown is set
+	startKnown bool
+	kind       int
+	zone       int
+	cell       int
+	capacity   float64
 }
 
-// arrival is a client's request.
-type arrival struct {
+// requestInfo describes a client's request.
+type requestInfo struct {
 	id       uint32
 	object   uint64
-	part     uint32
+	segment  uint32
 	group    uint32
-	vhost    int
-	kilobyte float64
+	class    int
+	sizeKB   float64
 	deadline time.Duration
-	first    bool // no request of its client has completed yet
+	unproven bool // no request of this client has been served yet
 }
 
-// attemptEnd is the end of one attempt.
-type attemptEnd struct {
-	attempt int
-	ending  ending
-	fill    fill
-	took    time.Duration
-	waited  time.Duration
-	sending time.Duration
-	final   bool
-	paused  bool // the director itself was stalled in the meantime
+// attemptOutcome describes the end of one attempt.
+type attemptOutcome struct {
+	attempt    int
+	result     resultKind
+	status     cacheStatus
+	duration   time.Duration
+	sourceWait time.Duration
+	sendTime   time.Duration
+	final      bool
+	stalled    bool // the director itself was stalled during the attempt
 }
 
-// attemptOrder is an attempt that the core starts.
+// attemptOrder describes an attempt that the core starts.
 type attemptOrder struct {
-	machine, source        uint32
-	timeout, until, age    time.Duration
-	rank                   uint8
-	heldOnly, renew, joins bool
+	machine, source                         uint32
+	timeout, startBefore, maxAge            time.Duration
+	priority                                uint8
+	onlyIfCached, revalidate, collapseFills bool
 }
 
-// outside receives the calls of the core.
-type outside interface {
-	attempt(request uint32, o attemptOrder)
-	cancel(request uint32, attempt int)
+// executor receives the calls of the core.
+type executor interface {
+	startAttempt(request uint32, o attemptOrder)
+	cancelAttempt(request uint32, attempt int)
 	reject(request uint32, retryAfter time.Duration)
 	fail(request uint32)
-	after(wait time.Duration, token uint32)
-	check(machine uint32)
+	setTimer(wait time.Duration, token uint32)
+	checkHealth(machine uint32)
 }
 
-// front is a routing.Executor that passes the core's calls to an outside.
-type front struct{ outside }
+// executorAdapter is a routing.Executor that passes the core's calls to an executor.
+type executorAdapter struct{ executor }
 
-func (f front) StartAttempt(request uint32, o routing.AttemptOrder) {
-	f.attempt(request, attemptOrder{machine: o.Node, source: o.Source, timeout: o.Timeout, until: o.StartBefore, age: o.MaxAge, rank: o.CachePriority,
-		heldOnly: o.OnlyIfCached, renew: o.Revalidate, joins: o.CollapseFills})
+func (f executorAdapter) StartAttempt(request uint32, o routing.AttemptOrder) {
+	f.startAttempt(request, attemptOrder{machine: o.Node, source: o.Source, timeout: o.Timeout, startBefore: o.StartBefore, maxAge: o.MaxAge,
+		priority: o.CachePriority, onlyIfCached: o.OnlyIfCached, revalidate: o.Revalidate, collapseFills: o.CollapseFills})
 }
-func (f front) CancelAttempt(request uint32, attempt int)       { f.cancel(request, attempt) }
-func (f front) Reject(request uint32, retryAfter time.Duration) { f.reject(request, retryAfter) }
-func (f front) Fail(request uint32)                             { f.fail(request) }
-func (f front) SetTimer(wait time.Duration, token uint32)       { f.after(wait, token) }
-func (f front) CheckHealth(machine uint32)                      { f.check(machine) }
+func (f executorAdapter) CancelAttempt(request uint32, attempt int) {
+	f.cancelAttempt(request, attempt)
+}
+func (f executorAdapter) Reject(request uint32, retryAfter time.Duration) {
+	f.reject(request, retryAfter)
+}
+func (f executorAdapter) Fail(request uint32)                       { f.fail(request) }
+func (f executorAdapter) SetTimer(wait time.Duration, token uint32) { f.setTimer(wait, token) }
+func (f executorAdapter) CheckHealth(machine uint32)                { f.checkHealth(machine) }
 
-// core is the decision core under test.
+// core wraps the routing.Director under test.
 type core struct{ director *routing.Director }
 
-func startCore(s scenario, o outside) core { return core{routing.New(s.settings(), front{o})} }
+func startCore(s scenario, o executor) core {
+	return core{routing.New(s.settings(), executorAdapter{o})}
+}
 
-func (c core) request(now time.Duration, a arrival) {
-	c.director.HandleRequest(now, routing.Request{ID: a.id, Object: a.object, Part: a.part, Group: a.group, Class: a.vhost, SizeKB: a.kilobyte, Deadline: a.deadline,
-		Unproven: a.first})
+func (c core) handleRequest(now time.Duration, a requestInfo) {
+	c.director.HandleRequest(now, routing.Request{ID: a.id, Object: a.object, Part: a.segment, Group: a.group, Class: a.class,
+		SizeKB: a.sizeKB, Deadline: a.deadline, Unproven: a.unproven})
 }
 
-func (c core) ended(now time.Duration, request uint32, e attemptEnd) {
-	c.director.HandleOutcome(now, request, routing.Outcome{Attempt: e.attempt, Result: endings[e.ending].core, Duration: e.took, SourceWait: e.waited,
-		SendTime: e.sending, Fill: fills[e.fill].core, Final: e.final, DirectorStalled: e.paused})
+func (c core) handleOutcome(now time.Duration, request uint32, e attemptOutcome) {
+	c.director.HandleOutcome(now, request, routing.Outcome{Attempt: e.attempt, Result: results[e.result].routingResult, Duration: e.duration,
+		SourceWait: e.sourceWait, SendTime: e.sendTime, Fill: cacheStatuses[e.status].routingFill, Final: e.final, DirectorStalled: e.stalled})
 }
 
-func (c core) timer(now time.Duration, token uint32) { c.director.HandleTimer(now, token) }
+func (c core) handleTimer(now time.Duration, token uint32) { c.director.HandleTimer(now, token) }
 
-func (c core) purge(now time.Duration, group uint32, object uint64, ago time.Duration) {
+func (c core) handlePurge(now time.Duration, group uint32, object uint64, ago time.Duration) {
 	c.director.HandlePurge(now, group, object, ago)
 }
 
-func (c core) list(now time.Duration, entries []entry, complete bool) {
+func (c core) updateEndpoints(now time.Duration, entries []listEntry, complete bool) {
 	var list []routing.Endpoint
 	for _, e := range entries {
-		list = append(list, routing.Endpoint{Node: e.machine, State: listings[e.listing], StartedAt: e.started, StartKnown: e.known, Kind: e.kind, Zone: e.zone,
-			Cell: e.cell, Capacity: e.size})
+		list = append(list, routing.Endpoint{Node: e.machine, State: listedStates[e.state], StartedAt: e.startedAt, StartKnown: e.startKnown,
+			Kind: e.kind, Zone: e.zone, Cell: e.cell, Capacity: e.capacity})
 	}
 	c.director.UpdateEndpoints(now, list, complete)
 }
 
-func (c core) left(now time.Duration, request uint32) { c.director.HandleClientGone(now, request) }
+func (c core) handleClientGone(now time.Duration, request uint32) {
+	c.director.HandleClientGone(now, request)
+}
 
-func (c core) told(now time.Duration, machine uint32, started time.Duration, alive bool, at time.Duration) {
+func (c core) handlePeerHealth(now time.Duration, machine uint32, started time.Duration, alive bool, at time.Duration) {
 	c.director.HandlePeerHealth(now, machine, started, alive, at)
 }
 
-func (c core) checked(now time.Duration, machine uint32, e ending) {
-	c.director.HandleHealthCheck(now, machine, endings[e].core)
+func (c core) handleHealthCheck(now time.Duration, machine uint32, e resultKind) {
+	c.director.HandleHealthCheck(now, machine, results[e].routingResult)
 }
 
 // Kinds of machines in the scenarios' lists.
@@ -203,15 +211,15 @@
 	originKind
 )
 
-// Request classes of each scenario, as indices.
+// Request classes of each scenario. The values are indices into Settings.Classes.
 const (
-	clipHost = iota
-	pageHost
-	logHost
-	zoneHost
-	cellHost
-	payHost
-	hosts
+	clipClass = iota
+	pageClass
+	logClass
+	zoneKeyedClass
+	cellKeyedClass
+	paymentClass
+	classCount
 )
 
 const ownZone = 1
@@ -219,23 +227,30 @@
 // settings returns the settings with which a scenario starts the core.
 func (s scenario) settings() routing.Settings {
 	const ms = time.Millisecond
-	vhosts := make([]routing.Class, hosts)
-	vhosts[clipHost] = routing.Class{LatencyObjective: 400 * ms, ObjectiveStretch: 2, MaxDeadline: 3000 * ms, Effect: routing.Idempotent, SplitInParts: true}
-	vhosts[pageHost] = routing.Class{LatencyObjective: 500 * ms, ObjectiveStretch: 1, MaxDeadline: 2500 * ms, Effect: routing.Idempotent, FreshFor: 6000 * ms, StaleGrace: 4000 * ms}
-	vhosts[logHost] = routing.Class{LatencyObjective: 600 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed, DedupScope: routing.DedupAll, DedupWindow: 2000 * ms, Write: true}
-	vhosts[zoneHost] = routing.Class{LatencyObjective: 500 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed, DedupScope: routing.DedupZone, DedupWindow: 1500 * ms}
-	vhosts[cellHost] = routing.Class{LatencyObjective: 500 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed, DedupScope: routing.DedupCell, DedupWindow: 1500 * ms}
-	vhosts[payHost] = routing.Class{LatencyObjective: 700 * ms, MaxDeadline: 2000 * ms, Effect: routing.NonIdempotent, Write: true}
-	return routing.Settings{Seed: s.seed, Index: 2, Zone: ownZone, Classes: vhosts, Hub: []int{0, 1, 2}, ParentKind: parentKind, OriginKind: originKind,
-		BypassAllowed: s.direct, CancelAllowed: s.cancel, RetryAfterAllowed: s.retryAfter, MaxRetryAfter: 180 * ms, MaxAttempts: s.attempts, FlowKBPerSecond: s.flow,
+	classes := make([]routing.Class, classCount)
+	classes[clipClass] = routing.Class{LatencyObjective: 400 * ms, ObjectiveStretch: 2, MaxDeadline: 3000 * ms, Effect: routing.Idempotent,
+		SplitInParts: true}
+	classes[pageClass] = routing.Class{LatencyObjective: 500 * ms, ObjectiveStretch: 1, MaxDeadline: 2500 * ms, Effect: routing.Idempotent,
+		FreshFor: 6000 * ms, StaleGrace: 4000 * ms}
+	classes[logClass] = routing.Class{LatencyObjective: 600 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed,
+		DedupScope: routing.DedupAll, DedupWindow: 2000 * ms, Write: true}
+	classes[zoneKeyedClass] = routing.Class{LatencyObjective: 500 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed,
+		DedupScope: routing.DedupZone, DedupWindow: 1500 * ms}
+	classes[cellKeyedClass] = routing.Class{LatencyObjective: 500 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed,
+		DedupScope: routing.DedupCell, DedupWindow: 1500 * ms}
+	classes[paymentClass] = routing.Class{LatencyObjective: 700 * ms, MaxDeadline: 2000 * ms, Effect: routing.NonIdempotent, Write: true}
+	return routing.Settings{Seed: s.seed, Index: 2, Zone: ownZone, Classes: classes, Hub: []int{0, 1, 2}, ParentKind: parentKind,
+		OriginKind: originKind, BypassAllowed: s.bypass, CancelAllowed: s.cancel, RetryAfterAllowed: s.retryAfter,
+		MaxRetryAfter: 180 * ms, MaxAttempts: s.maxAttempts, FlowKBPerSecond: s.flowKBPerSecond,
 		CacheSlowStart:  routing.SlowStart{InitialShare: 0.15, Duration: 8 * time.Second, OverloadMultiple: 3, Window: 2 * time.Second},
 		ParentSlowStart: routing.SlowStart{InitialShare: 0.2, Duration: 6 * time.Second, OverloadMultiple: 2.5, Window: 2 * time.Second},
-		PurgeRetention:  1500 * ms, Directors: s.directors, DirectorsInZone: s.here, HealthChecks: s.checks, FillFaultsReported: s.notes == allNotes, FillsCollapse: s.joins,
-		CapacitiesListed: s.sized}
+		PurgeRetention:  1500 * ms, Directors: s.directors, DirectorsInZone: s.directorsInZone, HealthChecks: s.healthChecks,
+		FillFaultsReported: s.reporting == reportAll, FillsCollapse: s.fillsCollapse, CapacitiesListed: s.capacitiesListed}
 }
 
-// line returns the text of an attempt that is hashed.
+// line returns the text of an attempt that is included in the hash of a block. It must not change, because the golden files
+// depend on it.
 func (o attemptOrder) line() string {
-	return fmt.Sprintf("machine=%d source=%d timeout=%d until=%d age=%d rank=%d held_only=%t renew=%t join=%t", o.machine, o.source, o.timeout, o.until,
-		o.age, o.rank, o.heldOnly, o.renew, o.joins)
+	return fmt.Sprintf("machine=%d source=%d timeout=%d until=%d age=%d rank=%d held_only=%t renew=%t join=%t", o.machine, o.source,
+		o.timeout, o.startBefore, o.maxAge, o.priority, o.onlyIfCached, o.revalidate, o.collapseFills)
 }
--- a/internal/replay/random_test.go
+++ b/internal/replay/random_test.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// random is the SplitMix64 generator. Its numbers depend on the seed only, not on the version of Go.
+// random is a SplitMix64 generator. Its output depends only on the seed and not on the Go version.
 type random struct{ state uint64 }
 
 func (r *random) next() uint64 {
@@ -16,13 +16,13 @@
 // below returns a number from 0 to n-1.
 func (r *random) below(n uint64) uint64 { return r.next() % n }
 
-// within returns a duration of whole microseconds that is at least least and less than most.
-func (r *random) within(least, most time.Duration) time.Duration {
-	return least + time.Duration(r.below(uint64((most-least)/time.Microsecond)))*time.Microsecond
+// between returns a duration in whole microseconds from low up to but excluding limit.
+func (r *random) between(low, limit time.Duration) time.Duration {
+	return low + time.Duration(r.below(uint64((limit-low)/time.Microsecond)))*time.Microsecond
 }
 
 // percent returns true with a probability of n percent.
 func (r *random) percent(n uint64) bool { return r.below(100) < n }
 
-// skewed returns a number from 0 to n-1. Smaller numbers are more likely.
+// skewed returns a number from 0 to n-1, where smaller numbers are more likely.
 func (r *random) skewed(n uint64) uint64 { return r.below(1 + r.below(1+r.below(n))) }
--- a/internal/replay/record_test.go
+++ b/internal/replay/record_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-const blockRequests = 1000 // requests in one block
+const blockRequests = 1000 // requests per block
 
-// counts is the number of occurrences of each word.
+// counts maps words to their numbers of occurrences.
 type counts map[string]int
 
-// text returns the words in alphabetical order, with their counts.
+// text returns the words with their counts in alphabetical order.
 func (c counts) text() string {
 	var words []string
 	for word, n := range c {
@@ -30,55 +30,55 @@
 	}
 }
 
-// record collects the lines of one block after another.
+// record collects the calls and events of a run, block by block.
 type record struct {
-	blocks   []string // golden lines of the completed blocks
-	requests int
-	lines    bytes.Buffer // lines of the current block
-	count    int          // number of these lines
-	seen     counts       // events of the current block
-	calls    counts       // calls of the core in all blocks
-	played   counts       // events of all completed blocks
-	ended    func(block int, line string, lines []byte)
+	blocks      []string // lines of the golden file for the completed blocks
+	requests    int
+	lines       bytes.Buffer // lines of the current block
+	lineCount   int          // number of lines in the current block
+	blockEvents counts       // events of the current block
+	calls       counts       // calls made by the core in all blocks
+	events      counts       // events of all completed blocks
+	onBlockEnd  func(block int, line string, lines []byte)
 }
 
 func newRecord(ended func(block int, line string, lines []byte)) *record {
-	return &record{seen: counts{}, calls: counts{}, played: counts{}, ended: ended}
+	return &record{blockEvents: counts{}, calls: counts{}, events: counts{}, onBlockEnd: ended}
 }
 
-// call records one call of the core.
-func (r *record) call(now time.Duration, kind, format string, args ...any) {
+// recordCall records one call made by the core.
+func (r *record) recordCall(now time.Duration, kind, format string, args ...any) {
 	fmt.Fprintf(&r.lines, "%d %s ", now, kind)
 	fmt.Fprintf(&r.lines, format, args...)
 	r.lines.WriteByte('\n')
-	r.count++
+	r.lineCount++
 	r.calls[kind]++
 }
 
-// shape counts a property of an attempt that a run must show, where the attempt has it.
-func (r *record) shape(name string, is bool) {
-	if is {
-		r.played["order "+name]++
+// countOrder counts an attempt if it has the named property. Every run must show each expected property.
+func (r *record) countOrder(name string, present bool) {
+	if present {
+		r.events["order "+name]++
 	}
 }
 
-// play counts an event of the world.
-func (r *record) play(what string) { r.seen[what]++ }
+// countEvent counts an event of the simulation.
+func (r *record) countEvent(name string) { r.blockEvents[name]++ }
 
-// request counts a request. After each blockRequests requests it starts a new block.
-func (r *record) request() {
+// countRequest counts a request. It starts a new block after every blockRequests requests.
+func (r *record) countRequest() {
 	if r.requests > 0 && r.requests%blockRequests == 0 {
-		r.end()
+		r.endBlock()
 	}
 	r.requests++
 }
 
-// end ends the current block.
-func (r *record) end() {
-	line := fmt.Sprintf("block %d sha256=%x calls=%d %s", len(r.blocks), sha256.Sum256(r.lines.Bytes()), r.count, r.seen.text())
-	r.ended(len(r.blocks), line, r.lines.Bytes())
+// endBlock ends the current block.
+func (r *record) endBlock() {
+	line := fmt.Sprintf("block %d sha256=%x calls=%d %s", len(r.blocks), sha256.Sum256(r.lines.Bytes()), r.lineCount, r.blockEvents.text())
+	r.onBlockEnd(len(r.blocks), line, r.lines.Bytes())
 	r.blocks = append(r.blocks, line)
-	r.played.add(r.seen)
-	r.seen, r.count = counts{}, 0
+	r.events.add(r.blockEvents)
+	r.blockEvents, r.lineCount = counts{}, 0
 	r.lines.Reset()
 }
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	update  = flag.Bool("update", false, "rewrite the golden files by what today's decisions are")
-	dumpDir = flag.String("dump", "", "directory for the lines of the first block that differs in each scenario")
-	block   = flag.Int("block", -1, "with -dump: this block of each scenario, differing or not")
+	update  = flag.Bool("update", false, "rewrite the golden files with the current decisions")
+	dumpDir = flag.String("dump", "", "directory for the lines of the first differing block of each scenario")
+	block   = flag.Int("block", -1, "with -dump: write this block of each scenario, even if it does not differ")
 )
 
-const leastRequests = 100_000 // requests in all scenarios together
+const minRequests = 100_000 // minimum requests in all scenarios together
 
-// TestReplay runs every scenario and compares the calls of the core with the golden files, block by block. It also fails where a kind of
-// event or call did not occur.
+// TestReplay runs every scenario and compares the calls made by the core with the golden files, block by block. It also fails
+// if an expected kind of event or call did not occur.
 func TestReplay(t *testing.T) {
 	var mu sync.Mutex
 	played, calls := counts{}, counts{}
@@ -27,10 +27,10 @@
 		for _, s := range scenarios() {
 			t.Run(s.name, func(t *testing.T) {
 				t.Parallel()
-				r := replayed(t, s)
+				r := replayScenario(t, s)
 				mu.Lock()
 				defer mu.Unlock()
-				played.add(r.played)
+				played.add(r.events)
 				calls.add(r.calls)
 			})
 		}
@@ -38,27 +38,27 @@
 	if t.Failed() {
 		return
 	}
-	if played["request"] < leastRequests {
-		t.Errorf("%d requests were played, %d at least are expected", played["request"], leastRequests)
+	if played["request"] < minRequests {
+		t.Errorf("got %d requests in all scenarios, want at least %d", played["request"], minRequests)
 	}
-	for _, word := range expected() {
+	for _, word := range expectedWords() {
 		if played[word] == 0 {
-			t.Errorf("%q never occurred", word)
+			t.Errorf("event or property %q never occurred, want at least one", word)
 		}
 	}
 	for _, kind := range []string{"attempt", "cancel", "reject", "fail", "after", "check"} {
 		if calls[kind] == 0 {
-			t.Errorf("the core never called %q", kind)
+			t.Errorf("core made no %q call, want at least one", kind)
 		}
 	}
 }
 
-// expected returns the words for all events and properties of attempts that must occur in a replay.
-func expected() (words []string) {
-	for _, e := range endings {
+// expectedWords returns the words for all events and attempt properties that must occur in the scenarios.
+func expectedWords() (words []string) {
+	for _, e := range results {
 		words = append(words, "ending "+e.name, "check "+e.name)
 	}
-	for _, f := range fills {
+	for _, f := range cacheStatuses {
 		words = append(words, "fill "+f.name)
 	}
 	for _, name := range conditionNames {
@@ -75,8 +75,8 @@
 		"ending after the answer", "ending twice", "unknown request", "answer lost", "check lost")
 }
 
-// replayed runs one scenario and compares it with its golden file.
-func replayed(t *testing.T, s scenario) *record {
+// replayScenario runs one scenario and compares it with its golden file.
+func replayScenario(t *testing.T, s scenario) *record {
 	t.Helper()
 	path := filepath.Join("testdata", strings.ReplaceAll(s.name, " ", "_")+".txt")
 	var want []string
@@ -92,18 +92,18 @@
 		first := !*update && different < 0 && (number >= len(want) || want[number] != line)
 		if first {
 			different = number
-			at := "nothing"
+			wantLine := "nothing"
 			if number < len(want) {
-				at = want[number]
+				wantLine = want[number]
 			}
-			t.Errorf("block %d (requests %d to %d) is the first that differs: played\n%s\nthe golden has\n%s", number, number*blockRequests+1,
-				(number+1)*blockRequests, line, at)
+			t.Errorf("block %d (requests %d to %d) is the first that differs: got\n%s\nwant\n%s", number, number*blockRequests+1,
+				(number+1)*blockRequests, line, wantLine)
 		}
 		if *dumpDir != "" && (first && *block < 0 || number == *block) {
 			dump(t, fmt.Sprintf("%s-%d.txt", strings.ReplaceAll(s.name, " ", "_"), number), lines)
 		}
 	})
-	newWorld(s, r).run()
+	newSimulation(s, r).run()
 	got := append(r.blocks, "calls "+r.calls.text(), "orders "+r.orders().text())
 	if *update {
 		if err := os.WriteFile(path, []byte(strings.Join(got, "\n")+"\n"), 0o644); err != nil {
@@ -112,16 +112,16 @@
 		return r
 	}
 	if different < 0 && strings.Join(got, "\n") != strings.Join(want, "\n") {
-		t.Errorf("the blocks are alike, the end is not: played\n%s\nthe golden has\n%s", strings.Join(got[len(r.blocks):], "\n"),
+		t.Errorf("all blocks match, but the totals differ: got\n%s\nwant\n%s", strings.Join(got[len(r.blocks):], "\n"),
 			strings.Join(want[min(len(r.blocks), len(want)):], "\n"))
 	}
 	return r
 }
 
-// orders returns the counts of attempts by their properties.
+// orders returns the counts of attempts by property.
 func (r *record) orders() counts {
 	c := counts{}
-	for word, n := range r.played {
+	for word, n := range r.events {
 		if strings.HasPrefix(word, "order ") {
 			c[word] = n
 		}
@@ -136,5 +136,5 @@
 		t.Error(err)
 		return
 	}
-	t.Logf("%d bytes of lines are in %s", len(lines), path)
+	t.Logf("wrote %d bytes of lines to %s", len(lines), path)
 }
--- a/internal/replay/scenario_test.go
+++ b/internal/replay/scenario_test.go
@@ -2,61 +2,68 @@
 
 import "time"
 
-// notes is what responses report about their cache status.
-type notes int
+// statusReporting states which cache statuses responses report.
+type statusReporting int
 
 const (
-	allNotes notes = iota
-	hitNotes
-	fillNotes // hits and fills, but no faults of fills
-	noNotes
+	reportAll statusReporting = iota
+	reportHits
+	reportFills // hits and fills, but no causes of failed fills
+	reportNone
 )
 
-// scenario is one sequence of events: the settings of the core, and the parameters of the world around it.
+// scenario is one sequence of events. It consists of the settings of the core and the parameters of the simulation around it.
 type scenario struct {
 	name     string
 	seed     uint64
 	requests int
 
 	// Settings of the core.
-	direct, cancel, retryAfter, checks, joins, sized bool
-	notes                                            notes
-	attempts                                         int
-	flow                                             float64 // kilobytes per second; 0: not stated
-	directors, here                                  int
+	bypass, cancel, retryAfter, healthChecks, fillsCollapse, capacitiesListed bool
+	reporting                                                                 statusReporting
+	maxAttempts                                                               int
+	flowKBPerSecond                                                           float64 // 0: not stated
+	directors, directorsInZone                                                int
 
-	// The world.
-	clients    int
-	think      time.Duration // longest time between two requests of one client
-	faultEvery time.Duration // average time between two faults
-	once       uint64        // percentage of requests for an object that is requested only once
-	objects    uint64        // objects of each class that are requested again; the first ones are requested more often
-	parts      uint64        // parts of an object of the class with parts
-	alike      bool          // all parts are requested equally often, many of one object, and no other class is requested
-	caches     int           // caches in the core's own zone
+	// Parameters of the simulation.
+	clients          int
+	maxThinkTime     time.Duration // maximum time between two requests of one client
+	faultInterval    time.Duration // average time between two faults
+	singleUsePercent uint64        // percentage of requests that are for objects requested only once
+	objects          uint64        // number of objects per class that are requested repeatedly; the first ones are more frequent
+	segments         uint64        // segments per object of the segmented class
+	uniformSegments  bool          // segments are equally frequent, with many of one object, and no other class is requested
+	caches           int           // number of caches in the core's own zone
 }
 
-// scenarios returns all scenarios. They have more than leastRequests requests together.
+// scenarios returns all scenarios, which together have more than minRequests requests.
 func scenarios() []scenario {
 	const ms = time.Millisecond
 	return []scenario{
-		{name: "everything", seed: 0x8c1f30d27a5be964, requests: 40000, direct: true, cancel: true, retryAfter: true, checks: true, joins: true, sized: true,
-			attempts: 4, flow: 200, directors: 6, here: 2, clients: 60, think: 60 * ms, faultEvery: 700 * ms, once: 15, objects: 400, parts: 8, caches: 9},
-		{name: "bare", seed: 2, requests: 24000, notes: noNotes, attempts: 3, directors: 1, here: 1, clients: 16, think: 200 * ms,
-			faultEvery: 900 * ms, once: 25, objects: 400, parts: 4, caches: 5},
-		{name: "shared", seed: 3, requests: 24000, cancel: true, retryAfter: true, checks: true, notes: hitNotes, attempts: 4, flow: 150,
-			directors: 60, here: 20, clients: 8, think: 100 * ms, faultEvery: 1100 * ms, once: 10, objects: 400, parts: 6, caches: 12},
-		{name: "calm", seed: 4, requests: 30000, cancel: true, checks: true, sized: true, joins: true, attempts: 6, flow: 300, directors: 2, here: 1,
-			clients: 70, think: 100 * ms, faultEvery: 9000 * ms, once: 10, objects: 400, parts: 3, caches: 7},
-		{name: "storm", seed: 5, requests: 30000, direct: true, cancel: true, retryAfter: true, checks: true, attempts: 8, flow: 250, directors: 3,
-			here: 3, clients: 30, think: 150 * ms, faultEvery: 400 * ms, once: 20, objects: 400, parts: 8, caches: 8},
-		{name: "wide", seed: 6, requests: 18000, direct: true, retryAfter: true, notes: hitNotes, attempts: 2, flow: 400, directors: 4, here: 2, sized: true,
-			clients: 400, think: 20 * ms, faultEvery: 600 * ms, once: 80, objects: 400, parts: 3000, caches: 16},
-		{name: "hot", seed: 7, requests: 24000, cancel: true, joins: true, notes: fillNotes, attempts: 4, flow: 200, directors: 2, here: 2, clients: 60,
-			think: 150 * ms, faultEvery: 3000 * ms, once: 5, objects: 3, parts: 2, caches: 6},
-		{name: "untold faults", seed: 8, requests: 24000, cancel: true, checks: true, notes: fillNotes, attempts: 4, flow: 200, directors: 2, here: 1,
-			clients: 30, think: 150 * ms, faultEvery: 500 * ms, once: 40, objects: 2000, parts: 8, caches: 8},
-		{name: "many parts", seed: 9, requests: 60000, cancel: true, attempts: 4, flow: 200, directors: 2, here: 1, clients: 600, think: 200 * ms,
-			faultEvery: 3000 * ms, objects: 110, parts: 1200, alike: true, caches: 8},
+		{name: "everything", seed: 0x8c1f30d27a5be964, requests: 40000, bypass: true, cancel: true, retryAfter: true, healthChecks: true,
+			fillsCollapse: true, capacitiesListed: true, maxAttempts: 4, flowKBPerSecond: 200, directors: 6, directorsInZone: 2, clients: 60,
+			maxThinkTime: 60 * ms, faultInterval: 700 * ms, singleUsePercent: 15, objects: 400, segments: 8, caches: 9},
+		{name: "bare", seed: 2, requests: 24000, reporting: reportNone, maxAttempts: 3, directors: 1, directorsInZone: 1, clients: 16,
+			maxThinkTime: 200 * ms, faultInterval: 900 * ms, singleUsePercent: 25, objects: 400, segments: 4, caches: 5},
+		{name: "shared", seed: 3, requests: 24000, cancel: true, retryAfter: true, healthChecks: true, reporting: reportHits, maxAttempts: 4,
+			flowKBPerSecond: 150, directors: 60, directorsInZone: 20, clients: 8, maxThinkTime: 100 * ms, faultInterval: 1100 * ms,
+			singleUsePercent: 10, objects: 400, segments: 6, caches: 12},
+		{name: "calm", seed: 4, requests: 30000, cancel: true, healthChecks: true, capacitiesListed: true, fillsCollapse: true, maxAttempts: 6,
+			flowKBPerSecond: 300, directors: 2, directorsInZone: 1, clients: 70, maxThinkTime: 100 * ms, faultInterval: 9000 * ms,
+			singleUsePercent: 10, objects: 400, segments: 3, caches: 7},
+		{name: "storm", seed: 5, requests: 30000, bypass: true, cancel: true, retryAfter: true, healthChecks: true, maxAttempts: 8,
+			flowKBPerSecond: 250, directors: 3, directorsInZone: 3, clients: 30, maxThinkTime: 150 * ms, faultInterval: 400 * ms,
+			singleUsePercent: 20, objects: 400, segments: 8, caches: 8},
+		{name: "wide", seed: 6, requests: 18000, bypass: true, retryAfter: true, reporting: reportHits, maxAttempts: 2, flowKBPerSecond: 400,
+			directors: 4, directorsInZone: 2, capacitiesListed: true, clients: 400, maxThinkTime: 20 * ms, faultInterval: 600 * ms,
+			singleUsePercent: 80, objects: 400, segments: 3000, caches: 16},
+		{name: "hot", seed: 7, requests: 24000, cancel: true, fillsCollapse: true, reporting: reportFills, maxAttempts: 4, flowKBPerSecond: 200,
+			directors: 2, directorsInZone: 2, clients: 60, maxThinkTime: 150 * ms, faultInterval: 3000 * ms, singleUsePercent: 5, objects: 3,
+			segments: 2, caches: 6},
+		{name: "untold faults", seed: 8, requests: 24000, cancel: true, healthChecks: true, reporting: reportFills, maxAttempts: 4,
+			flowKBPerSecond: 200, directors: 2, directorsInZone: 1, clients: 30, maxThinkTime: 150 * ms, faultInterval: 500 * ms,
+			singleUsePercent: 40, objects: 2000, segments: 8, caches: 8},
+		{name: "many parts", seed: 9, requests: 60000, cancel: true, maxAttempts: 4, flowKBPerSecond: 200, directors: 2, directorsInZone: 1,
+			clients: 600, maxThinkTime: 200 * ms, faultInterval: 3000 * ms, objects: 110, segments: 1200, uniformSegments: true, caches: 8},
 	}
 }
--- a/internal/replay/world_test.go
+++ b/internal/replay/world_test.go
@@ -8,11 +8,11 @@
 
 const ms = time.Millisecond
 
-// event is something that happens at a time. Events of the same time happen in the order in which they were planned.
+// event is an action at a time. Events with the same time run in the order in which they were scheduled.
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
 type events []event
@@ -20,7 +20,7 @@
 func (e events) Len() int      { return len(e) }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 func (e *events) Pop() any {
@@ -33,74 +33,75 @@
 type condition int
 
 const (
-	well condition = iota
+	healthy condition = iota
 	dead
 	hung
 	slow
 	faulty
 	refusing
 	lossy
-	conditions
+	conditionCount
 )
 
-var conditionNames = [...]string{well: "well", dead: "dead", hung: "hung", slow: "slow", faulty: "faulty", refusing: "refusing", lossy: "lossy"}
+var conditionNames = [...]string{healthy: "well", dead: "dead", hung: "hung", slow: "slow", faulty: "faulty", refusing: "refusing",
+	lossy: "lossy"}
 
 // machine is a cache, a parent or an origin.
 type machine struct {
-	id      uint32
-	kind    int
-	zone    int
-	cell    int
-	size    float64
-	places  int // attempts that it can serve at the same time
-	listing listing
-	cond    condition
-	until   time.Duration // end of the condition
-	started time.Duration
-	known   bool // the endpoint list states its start
-	open    []*attempt
-	copies  map[uint64]time.Duration // time of each copy, by document
+	id            uint32
+	kind          int
+	zone          int
+	cell          int
+	capacity      float64
+	slots         int // maximum concurrent attempts
+	state         listedState
+	lastCondition condition
+	conditionEnd  time.Duration // time at which lastCondition ends
+	startedAt     time.Duration
+	startKnown    bool // the endpoint list states the start
+	openAttempts  []*attempt
+	copies        map[uint64]time.Duration // time at which each copy was stored, by document
 }
 
 // attempt is an attempt in flight.
 type attempt struct {
-	request *request
-	number  int
-	at      time.Duration
-	machine *machine
-	over    bool
+	request   *request
+	number    int
+	startedAt time.Duration
+	machine   *machine
+	finished  bool
 }
 
 // request is a client's request.
 type request struct {
-	arrival
+	requestInfo
 	document uint64
 	client   int
 	attempts []*attempt
 	answered bool
 }
 
-// world emulates the clients, the machines and the discovery service around the core.
-type world struct {
-	s        scenario
-	random   random
-	now      time.Duration
-	planned  uint64
-	queue    events
-	core     core
-	record   *record
-	machines []*machine
-	byID     map[uint32]*machine
-	requests map[uint32]*request
-	lastID   uint32
-	once     uint64
-	served   []bool // whether a request of the client has completed, by client
-	lastEnd  func() // repeats the last end of an attempt
+// simulation emulates the clients, the machines and the discovery service around the core.
+type simulation struct {
+	scenario          scenario
+	random            random
+	now               time.Duration
+	eventCount        uint64
+	queue             events
+	core              core
+	record            *record
+	machines          []*machine
+	byID              map[uint32]*machine
+	requests          map[uint32]*request
+	lastID            uint32
+	singleUseCount    uint64
+	clientServed      []bool // by client: a request has been served
+	repeatLastOutcome func() // reports the last outcome again
 }
 
-func newWorld(s scenario, r *record) *world {
-	w := &world{s: s, random: random{s.seed}, record: r, byID: map[uint32]*machine{}, requests: map[uint32]*request{},
-		served: make([]bool, s.clients)}
+func newSimulation(s scenario, r *record) *simulation {
+	w := &simulation{scenario: s, random: random{s.seed}, record: r, byID: map[uint32]*machine{}, requests: map[uint32]*request{},
+		clientServed: make([]bool, s.clients)}
 	for i := range s.caches {
 		w.add(cacheKind, ownZone, i%3)
 	}
@@ -114,298 +115,302 @@
 	return w
 }
 
-// add adds a machine. The core learns of it with the next update of the endpoint list.
-func (w *world) add(kind, zone, cell int) *machine {
+// add adds a machine. The core is notified with the next update of the endpoint list.
+func (w *simulation) add(kind, zone, cell int) *machine {
 	size := float64(4 + w.random.below(3)*4)
-	m := &machine{id: uint32(w.random.next()>>40)<<8 | uint32(len(w.machines)), kind: kind, zone: zone, cell: cell, size: size, places: 3 * int(size),
-		listing: listedReady, started: -100 * time.Second, copies: map[uint64]time.Duration{}}
+	m := &machine{id: uint32(w.random.next()>>40)<<8 | uint32(len(w.machines)), kind: kind, zone: zone, cell: cell, capacity: size,
+		slots: 3 * int(size), state: listedReady, startedAt: -100 * time.Second, copies: map[uint64]time.Duration{}}
 	if kind != cacheKind {
-		m.places *= 3
+		m.slots *= 3
 	}
 	w.machines, w.byID[m.id] = append(w.machines, m), m
 	return m
 }
 
-// plan lets something happen after a time.
-func (w *world) plan(wait time.Duration, do func()) {
-	w.planned++
-	heap.Push(&w.queue, event{w.now + max(wait, 0), w.planned, do})
+// schedule runs do after a wait.
+func (w *simulation) schedule(wait time.Duration, do func()) {
+	w.eventCount++
+	heap.Push(&w.queue, event{w.now + max(wait, 0), w.eventCount, do})
 }
 
-// every lets something happen repeatedly, at random intervals around a period.
-func (w *world) every(period time.Duration, do func()) {
-	w.plan(w.random.within(period/2, period*3/2), func() {
+// scheduleRepeatedly runs do repeatedly, at random intervals whose mean is period.
+func (w *simulation) scheduleRepeatedly(period time.Duration, do func()) {
+	w.schedule(w.random.between(period/2, period*3/2), func() {
 		do()
-		w.every(period, do)
+		w.scheduleRepeatedly(period, do)
 	})
 }
 
-// run runs the scenario until its number of requests has come in.
-func (w *world) run() {
-	w.list(true)
-	for client := range w.s.clients {
-		w.plan(w.random.within(0, w.s.think), func() { w.ask(client, 0, 0) })
+// run runs the scenario until all of its requests have been sent.
+func (w *simulation) run() {
+	w.updateEndpoints(true)
+	for client := range w.scenario.clients {
+		w.schedule(w.random.between(0, w.scenario.maxThinkTime), func() { w.sendRequest(client, 0, 0) })
 	}
-	w.every(w.s.faultEvery, w.fault)
-	w.every(5*time.Second, func() { w.list(true) })
-	w.every(1700*ms, func() { w.list(false, w.anyMachine()) })
-	w.every(600*ms, w.purge)
-	w.every(400*ms, w.tell)
-	w.every(3*time.Second, w.oddities)
-	for w.lastID < uint32(w.s.requests) {
+	w.scheduleRepeatedly(w.scenario.faultInterval, w.injectFault)
+	w.scheduleRepeatedly(5*time.Second, func() { w.updateEndpoints(true) })
+	w.scheduleRepeatedly(1700*ms, func() { w.updateEndpoints(false, w.randomMachine()) })
+	w.scheduleRepeatedly(600*ms, w.sendPurge)
+	w.scheduleRepeatedly(400*ms, w.sendPeerHealth)
+	w.scheduleRepeatedly(3*time.Second, w.sendInvalidEvents)
+	for w.lastID < uint32(w.scenario.requests) {
 		next := heap.Pop(&w.queue).(event)
 		w.now = next.at
-		next.do()
+		next.run()
 	}
-	w.record.end()
+	w.record.endBlock()
 }
 
-func (w *world) anyMachine() *machine { return w.machines[w.random.below(uint64(len(w.machines)))] }
+func (w *simulation) randomMachine() *machine {
+	return w.machines[w.random.below(uint64(len(w.machines)))]
+}
 
-// list updates the core's endpoint list, with all machines or with some.
-func (w *world) list(complete bool, some ...*machine) {
+// updateEndpoints updates the core's endpoint list with all machines, or with the given ones.
+func (w *simulation) updateEndpoints(complete bool, some ...*machine) {
 	if complete {
 		some = w.machines
-		w.record.play("list complete")
+		w.record.countEvent("list complete")
 	} else {
-		w.record.play("list partial")
+		w.record.countEvent("list partial")
 	}
-	var entries []entry
+	var entries []listEntry
 	for _, m := range some {
-		if complete && m.listing == listedGone {
+		if complete && m.state == listedGone {
 			continue
 		}
-		w.record.play("listed " + [...]string{"gone", "ready", "draining"}[m.listing])
-		entries = append(entries, entry{machine: m.id, listing: m.listing, started: m.started, known: m.known, kind: m.kind, zone: m.zone, cell: m.cell,
-			size: m.size})
+		w.record.countEvent("listed " + [...]string{"gone", "ready", "draining"}[m.state])
+		entries = append(entries, listEntry{machine: m.id, state: m.state, startedAt: m.startedAt, startKnown: m.startKnown, kind: m.kind,
+			zone: m.zone, cell: m.cell, capacity: m.capacity})
 	}
-	w.core.list(w.now, entries, complete)
+	w.core.updateEndpoints(w.now, entries, complete)
 }
 
-// ask lets a client send a request, for the object of an earlier request or for another one.
-func (w *world) ask(client, vhost int, object uint64) {
-	w.record.request()
+// sendRequest sends a client's request for the given object, or for a randomly drawn object if object is 0.
+func (w *simulation) sendRequest(client, class int, object uint64) {
+	w.record.countRequest()
 	w.lastID++
 	r := &request{client: client}
-	r.id, r.first = w.lastID, !w.served[client]
+	r.id, r.unproven = w.lastID, !w.clientServed[client]
 	if object == 0 {
-		vhost, object = w.choose()
+		class, object = w.drawObject()
 	}
-	r.vhost, r.object, r.group = vhost, object, uint32(object%5)
-	if vhost == clipHost {
-		r.part = w.part()
+	r.class, r.object, r.group = class, object, uint32(object%5)
+	if class == clipClass {
+		r.segment = w.drawSegment()
 	}
 	if w.random.percent(60) {
-		r.kilobyte = float64(2 + w.random.below(60))
+		r.sizeKB = float64(2 + w.random.below(60))
 	}
-	r.document = object*31 + uint64(r.part)
-	patience := w.random.within(900*ms, 3000*ms)
+	r.document = object*31 + uint64(r.segment)
+	timeout := w.random.between(900*ms, 3000*ms)
 	if w.random.below(500) == 0 {
-		patience = w.random.within(0, 30*ms)
+		timeout = w.random.between(0, 30*ms)
 	}
-	r.deadline = w.now + patience
+	r.deadline = w.now + timeout
 	w.requests[r.id] = r
-	w.record.play("request")
+	w.record.countEvent("request")
 	if w.random.percent(3) {
-		w.plan(w.random.within(0, 700*ms), func() { w.leave(r) })
+		w.schedule(w.random.between(0, 700*ms), func() { w.cancelRequest(r) })
 	}
-	w.core.request(w.now, r.arrival)
+	w.core.handleRequest(w.now, r.requestInfo)
 }
 
-// choose draws a class and one of its objects.
-func (w *world) choose() (vhost int, object uint64) {
-	if w.s.alike {
-		object = w.random.below(w.s.objects)
+// drawObject draws a class and one of its objects.
+func (w *simulation) drawObject() (class int, object uint64) {
+	if w.scenario.uniformSegments {
+		object = w.random.below(w.scenario.objects)
 		if w.random.percent(10) {
 			object = 0
 		}
-		return clipHost, 1 + object
+		return clipClass, 1 + object
 	}
 	switch n := w.random.below(100); {
 	case n < 40:
-		vhost = clipHost
+		class = clipClass
 	case n < 75:
-		vhost = pageHost
+		class = pageClass
 	case n < 82:
-		vhost = logHost
+		class = logClass
 	case n < 90:
-		vhost = zoneHost
+		class = zoneKeyedClass
 	case n < 95:
-		vhost = cellHost
+		class = cellKeyedClass
 	default:
-		vhost = payHost
+		class = paymentClass
 	}
-	if w.random.below(100) < w.s.once {
-		w.once++
-		return vhost, 1<<32 + w.once
+	if w.random.below(100) < w.scenario.singleUsePercent {
+		w.singleUseCount++
+		return class, 1<<32 + w.singleUseCount
 	}
-	return vhost, 1 + w.random.skewed(w.s.objects)*hosts + uint64(vhost)
+	return class, 1 + w.random.skewed(w.scenario.objects)*classCount + uint64(class)
 }
 
-// part draws a part of an object. The first parts are more likely, unless the scenario requests all parts equally often.
-func (w *world) part() uint32 {
-	if w.s.alike {
-		return uint32(w.random.below(w.s.parts))
+// drawSegment draws a segment of an object. The first segments are more likely, unless the scenario requests all segments
+// equally often.
+func (w *simulation) drawSegment() uint32 {
+	if w.scenario.uniformSegments {
+		return uint32(w.random.below(w.scenario.segments))
 	}
-	return uint32(w.random.skewed(w.s.parts))
+	return uint32(w.random.skewed(w.scenario.segments))
 }
 
-// leave lets a client cancel its request.
-func (w *world) leave(r *request) {
-	w.record.play("client left")
-	w.core.left(w.now, r.id)
-	w.answered(r, w.random.within(0, w.s.think))
+// cancelRequest disconnects the client of a request.
+func (w *simulation) cancelRequest(r *request) {
+	w.record.countEvent("client left")
+	w.core.handleClientGone(w.now, r.id)
+	w.finishRequest(r, w.random.between(0, w.scenario.maxThinkTime))
 }
 
-// answered completes a request. Its client sends another one later.
-func (w *world) answered(r *request, wait time.Duration) {
+// finishRequest marks a request as answered. Its client sends the next one after a wait.
+func (w *simulation) finishRequest(r *request, wait time.Duration) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	w.forget(r)
-	w.plan(wait, func() { w.ask(r.client, 0, 0) })
+	w.removeIfDone(r)
+	w.schedule(wait, func() { w.sendRequest(r.client, 0, 0) })
 }
 
-// forget removes a request that is answered and has no attempt in flight.
-func (w *world) forget(r *request) {
-	if r.answered && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.over }) {
+// removeIfDone removes a request that is answered and has no attempt in flight.
+func (w *simulation) removeIfDone(r *request) {
+	if r.answered && !slices.ContainsFunc(r.attempts, func(a *attempt) bool { return !a.finished }) {
 		delete(w.requests, r.id)
 	}
 }
 
-// The following methods implement outside: they are what the core calls.
+// The following methods implement executor. The core calls them.
 
-func (w *world) attempt(id uint32, o attemptOrder) {
-	w.record.call(w.now, "attempt", "request=%d %s", id, o.line())
+func (w *simulation) startAttempt(id uint32, o attemptOrder) {
+	w.record.recordCall(w.now, "attempt", "request=%d %s", id, o.line())
 	r, m := w.requests[id], w.byID[o.machine]
-	w.record.shape("look", o.machine == o.source)
-	w.record.shape("held only", o.heldOnly)
-	w.record.shape("renew", o.renew)
-	w.record.shape("join", o.joins)
-	w.record.shape("until", o.until > 0)
-	w.record.shape("age", o.age > 0)
-	w.record.shape("past the caches", m.kind != cacheKind)
-	w.record.shape("by origin", w.byID[o.source].kind == originKind)
-	w.record.shape([...]string{"rank 0", "rank 1", "rank 2", "rank 3"}[o.rank], true)
-	w.record.shape("retry", len(r.attempts) > 0)
-	w.played(m)
-	a := &attempt{request: r, number: len(r.attempts), at: w.now, machine: m}
+	w.record.countOrder("look", o.machine == o.source)
+	w.record.countOrder("held only", o.onlyIfCached)
+	w.record.countOrder("renew", o.revalidate)
+	w.record.countOrder("join", o.collapseFills)
+	w.record.countOrder("until", o.startBefore > 0)
+	w.record.countOrder("age", o.maxAge > 0)
+	w.record.countOrder("past the caches", m.kind != cacheKind)
+	w.record.countOrder("by origin", w.byID[o.source].kind == originKind)
+	w.record.countOrder([...]string{"rank 0", "rank 1", "rank 2", "rank 3"}[o.priority], true)
+	w.record.countOrder("retry", len(r.attempts) > 0)
+	w.countMachine(m)
+	a := &attempt{request: r, number: len(r.attempts), startedAt: w.now, machine: m}
 	r.attempts = append(r.attempts, a)
-	m.open = append(m.open, a)
-	e, wait := w.fate(a, o)
-	if e.ending == timedOut && w.random.percent(10) {
-		w.record.play("answer lost")
+	m.openAttempts = append(m.openAttempts, a)
+	e, wait := w.drawOutcome(a, o)
+	if e.result == resultTimedOut && w.random.percent(10) {
+		w.record.countEvent("answer lost")
 	}
-	w.plan(wait, func() { w.end(a, e) })
+	w.schedule(wait, func() { w.finishAttempt(a, e) })
 }
 
-// played counts the state and the condition of the machine of an attempt.
-func (w *world) played(m *machine) {
-	w.record.play("machine " + conditionNames[w.condition(m)])
-	if w.now-m.started < 8*time.Second {
-		w.record.play("machine started lately")
+// countMachine counts the condition of the machine of an attempt, and whether the machine started recently.
+func (w *simulation) countMachine(m *machine) {
+	w.record.countEvent("machine " + conditionNames[w.condition(m)])
+	if w.now-m.startedAt < 8*time.Second {
+		w.record.countEvent("machine started lately")
 	}
 }
 
-func (w *world) cancel(id uint32, number int) {
-	w.record.call(w.now, "cancel", "request=%d attempt=%d", id, number)
+func (w *simulation) cancelAttempt(id uint32, number int) {
+	w.record.recordCall(w.now, "cancel", "request=%d attempt=%d", id, number)
 	a := w.requests[id].attempts[number]
-	w.plan(w.random.within(0, 20*ms), func() { w.end(a, attemptEnd{ending: cancelled}) })
+	w.schedule(w.random.between(0, 20*ms), func() { w.finishAttempt(a, attemptOutcome{result: resultCancelled}) })
 }
 
-func (w *world) reject(id uint32, retryAfter time.Duration) {
-	w.record.call(w.now, "reject", "request=%d retry_after=%d", id, retryAfter)
-	w.record.shape("retry after", retryAfter > 0)
+func (w *simulation) reject(id uint32, retryAfter time.Duration) {
+	w.record.recordCall(w.now, "reject", "request=%d retry_after=%d", id, retryAfter)
+	w.record.countOrder("retry after", retryAfter > 0)
 	r := w.requests[id]
 	if r == nil || r.answered {
 		return
 	}
 	r.answered = true
-	w.forget(r)
-	wait := retryAfter + w.random.within(0, w.s.think)
+	w.removeIfDone(r)
+	wait := retryAfter + w.random.between(0, w.scenario.maxThinkTime)
 	if w.random.percent(50) {
-		w.plan(wait, func() { w.ask(r.client, r.vhost, r.object) })
+		w.schedule(wait, func() { w.sendRequest(r.client, r.class, r.object) })
 		return
 	}
-	w.plan(wait, func() { w.ask(r.client, 0, 0) })
+	w.schedule(wait, func() { w.sendRequest(r.client, 0, 0) })
 }
 
-func (w *world) fail(id uint32) {
-	w.record.call(w.now, "fail", "request=%d", id)
+func (w *simulation) fail(id uint32) {
+	w.record.recordCall(w.now, "fail", "request=%d", id)
 	if r := w.requests[id]; r != nil {
-		w.answered(r, w.random.within(0, w.s.think))
+		w.finishRequest(r, w.random.between(0, w.scenario.maxThinkTime))
 	}
 }
 
-func (w *world) after(wait time.Duration, token uint32) {
-	w.record.call(w.now, "after", "wait=%d token=%d", wait, token)
-	w.plan(wait, func() {
-		w.record.play("timer")
-		w.core.timer(w.now, token)
+func (w *simulation) setTimer(wait time.Duration, token uint32) {
+	w.record.recordCall(w.now, "after", "wait=%d token=%d", wait, token)
+	w.schedule(wait, func() {
+		w.record.countEvent("timer")
+		w.core.handleTimer(w.now, token)
 	})
 }
 
-func (w *world) check(id uint32) {
-	w.record.call(w.now, "check", "machine=%d", id)
+func (w *simulation) checkHealth(id uint32) {
+	w.record.recordCall(w.now, "check", "machine=%d", id)
 	m := w.byID[id]
-	e := done
+	e := resultServed
 	switch c := w.condition(m); {
 	case w.random.percent(10):
-		e = ending(w.random.below(uint64(len(endings))))
+		e = resultKind(w.random.below(uint64(len(results))))
 	case c == dead:
-		e = noConnect
+		e = resultConnectFailed
 	case c == hung:
-		e = timedOut
+		e = resultTimedOut
 	}
 	if w.random.percent(15) {
-		w.record.play("check lost")
+		w.record.countEvent("check lost")
 		return
 	}
-	w.plan(w.random.within(ms, 300*ms), func() { w.checked(id, e) })
+	w.schedule(w.random.between(ms, 300*ms), func() { w.sendHealthCheckResult(id, e) })
 }
 
-func (w *world) checked(id uint32, e ending) {
-	w.record.play("check " + endings[e].name)
-	w.core.checked(w.now, id, e)
+func (w *simulation) sendHealthCheckResult(id uint32, e resultKind) {
+	w.record.countEvent("check " + results[e].name)
+	w.core.handleHealthCheck(w.now, id, e)
 }
 
-// end reports the end of an attempt to the core.
-func (w *world) end(a *attempt, e attemptEnd) {
-	if a.over {
+// finishAttempt reports the end of an attempt to the core.
+func (w *simulation) finishAttempt(a *attempt, e attemptOutcome) {
+	if a.finished {
 		return
 	}
-	a.over = true
-	a.machine.open = slices.DeleteFunc(a.machine.open, func(o *attempt) bool { return o == a })
+	a.finished = true
+	a.machine.openAttempts = slices.DeleteFunc(a.machine.openAttempts, func(o *attempt) bool { return o == a })
 	r := a.request
-	e.attempt, e.took = a.number, w.now-a.at
-	e.paused = w.random.below(80) == 0
-	e.fill = w.noted(e.fill)
-	e.final = e.ending == done || r.answered || w.random.below(400) == 0
-	w.record.play("ending " + endings[e.ending].name)
-	w.record.play("fill " + fills[e.fill].name)
-	if e.paused {
-		w.record.play("director paused")
+	e.attempt, e.duration = a.number, w.now-a.startedAt
+	e.stalled = w.random.below(80) == 0
+	e.status = w.reportedStatus(e.status)
+	e.final = e.result == resultServed || r.answered || w.random.below(400) == 0
+	w.record.countEvent("ending " + results[e.result].name)
+	w.record.countEvent("fill " + cacheStatuses[e.status].name)
+	if e.stalled {
+		w.record.countEvent("director paused")
 	}
 	if r.answered {
-		w.record.play("ending after the answer")
+		w.record.countEvent("ending after the answer")
 	}
-	if e.ending == done {
-		w.served[r.client] = true
+	if e.result == resultServed {
+		w.clientServed[r.client] = true
 	}
-	w.lastEnd = func() { w.core.ended(w.now, r.id, e) }
+	w.repeatLastOutcome = func() { w.core.handleOutcome(w.now, r.id, e) }
 	if e.final {
-		w.answered(r, w.random.within(0, w.s.think))
+		w.finishRequest(r, w.random.between(0, w.scenario.maxThinkTime))
 	}
-	w.core.ended(w.now, r.id, e)
-	w.forget(r)
+	w.core.handleOutcome(w.now, r.id, e)
+	w.removeIfDone(r)
 }
 
-// noted returns the cache status of a response as far as the scenario's responses report it.
-func (w *world) noted(f fill) fill {
+// reportedStatus returns the cache status of a response, or statusUnknown if the scenario's responses do not report it.
+func (w *simulation) reportedStatus(f cacheStatus) cacheStatus {
 	switch {
-	case w.s.notes == allNotes, w.s.notes == hitNotes && f == hit, w.s.notes == fillNotes && (f == hit || f == filled || f == filledByOrigin):
+	case w.scenario.reporting == reportAll, w.scenario.reporting == reportHits && f == statusHit,
+		w.scenario.reporting == reportFills && (f == statusHit || f == statusFilled || f == statusFilledByOrigin):
 		return f
 	}
-	return untold
+	return statusUnknown
 }
