--- a/internal/replay/adapter_test.go
+++ b/internal/replay/adapter_test.go
@@ -146,9 +146,10 @@
 // executorAdapter is a routing.Executor that passes the core's calls to an executor.
 type executorAdapter struct{ executor }
 
-func (f executorAdapter) StartAttempt(request uint32, o routing.AttemptOrder) {
-	f.startAttempt(request, attemptOrder{machine: o.Node, source: o.Source, timeout: o.Timeout, startBefore: o.StartBefore, maxAge: o.MaxAge,
-		priority: o.CachePriority, onlyIfCached: o.OnlyIfCached, revalidate: o.Revalidate, collapseFills: o.CollapseFills})
+func (f executorAdapter) StartAttempt(request uint32, order routing.AttemptOrder) {
+	f.startAttempt(request, attemptOrder{machine: order.Node, source: order.Source, timeout: order.Timeout, startBefore: order.StartBefore,
+		maxAge: order.MaxAge, priority: order.CachePriority, onlyIfCached: order.OnlyIfCached, revalidate: order.Revalidate,
+		collapseFills: order.CollapseFills})
 }
 func (f executorAdapter) CancelAttempt(request uint32, attempt int) {
 	f.cancelAttempt(request, attempt)
@@ -163,18 +164,19 @@
 // core wraps the routing.Director under test.
 type core struct{ director *routing.Director }
 
-func startCore(s scenario, o executor) core {
-	return core{routing.New(s.settings(), executorAdapter{o})}
+func startCore(s scenario, exec executor) core {
+	return core{routing.New(s.settings(), executorAdapter{exec})}
 }
 
-func (c core) handleRequest(now time.Duration, a requestInfo) {
-	c.director.HandleRequest(now, routing.Request{ID: a.id, Object: a.object, Part: a.segment, Group: a.group, Class: a.class,
-		SizeKB: a.sizeKB, Deadline: a.deadline, Unproven: a.unproven})
+func (c core) handleRequest(now time.Duration, info requestInfo) {
+	c.director.HandleRequest(now, routing.Request{ID: info.id, Object: info.object, Part: info.segment, Group: info.group, Class: info.class,
+		SizeKB: info.sizeKB, Deadline: info.deadline, Unproven: info.unproven})
 }
 
-func (c core) handleOutcome(now time.Duration, request uint32, e attemptOutcome) {
-	c.director.HandleOutcome(now, request, routing.Outcome{Attempt: e.attempt, Result: results[e.result].routingResult, Duration: e.duration,
-		SourceWait: e.sourceWait, SendTime: e.sendTime, Fill: cacheStatuses[e.status].routingFill, Final: e.final, DirectorStalled: e.stalled})
+func (c core) handleOutcome(now time.Duration, request uint32, outcome attemptOutcome) {
+	c.director.HandleOutcome(now, request, routing.Outcome{Attempt: outcome.attempt, Result: results[outcome.result].routingResult,
+		Duration: outcome.duration, SourceWait: outcome.sourceWait, SendTime: outcome.sendTime, Fill: cacheStatuses[outcome.status].routingFill,
+		Final: outcome.final, DirectorStalled: outcome.stalled})
 }
 
 func (c core) handleTimer(now time.Duration, token uint32) { c.director.HandleTimer(now, token) }
@@ -200,8 +202,8 @@
 	c.director.HandlePeerHealth(now, machine, started, alive, at)
 }
 
-func (c core) handleHealthCheck(now time.Duration, machine uint32, e resultKind) {
-	c.director.HandleHealthCheck(now, machine, results[e].routingResult)
+func (c core) handleHealthCheck(now time.Duration, machine uint32, result resultKind) {
+	c.director.HandleHealthCheck(now, machine, results[result].routingResult)
 }
 
 // Kinds of machines in the scenarios' lists.
--- a/internal/replay/machines_test.go
+++ b/internal/replay/machines_test.go
@@ -30,7 +30,7 @@
 )
 
 // drawOutcome draws the outcome of an attempt and the time until it ends.
-func (w *simulation) drawOutcome(a *attempt, o attemptOrder) (attemptOutcome, time.Duration) {
+func (w *simulation) drawOutcome(a *attempt, order attemptOrder) (attemptOutcome, time.Duration) {
 	roll, c := w.random.below(10000), w.condition(a.machine)
 	drawn := func(chance uint64) bool {
 		if roll < chance {
@@ -59,7 +59,7 @@
 	case c == refusing, len(a.machine.openAttempts) > a.machine.slots:
 		return attemptOutcome{result: resultRejected, status: w.drawStatus(60, statusUnknown, statusFillsFull)}, w.random.between(ms, 10*ms)
 	}
-	return w.serve(a, o)
+	return w.serve(a, order)
 }
 
 func (w *simulation) drawStatus(percent uint64, a, b cacheStatus) cacheStatus {
@@ -71,7 +71,7 @@
 
 // serve returns the outcome of an attempt at a machine that serves it, and the time until it ends. The outcome is a hit, a
 // miss, or a fill from the source.
-func (w *simulation) serve(a *attempt, o attemptOrder) (attemptOutcome, time.Duration) {
+func (w *simulation) serve(a *attempt, order attemptOrder) (attemptOutcome, time.Duration) {
 	m, r := a.machine, a.request
 	sending := time.Duration(10+r.document%90) * ms
 	if r.sizeKB > 0 {
@@ -81,30 +81,32 @@
 	if w.condition(m) == slow {
 		duration *= time.Duration(2 + w.random.below(60))
 	}
-	e := attemptOutcome{result: resultServed, status: statusHit}
+	outcome := attemptOutcome{result: resultServed, status: statusHit}
 	if w.random.percent(50) {
-		e.sendTime = sending
+		outcome.sendTime = sending
 	}
 	copiedAt, cached := m.copies[r.document]
-	if cached && (o.maxAge == 0 || w.now-copiedAt < o.maxAge) && r.class != logClass && r.class != paymentClass {
+	if cached && (order.maxAge == 0 || w.now-copiedAt < order.maxAge) && r.class != logClass && r.class != paymentClass {
 		if w.random.percent(2) {
-			e.status = statusStale
+			outcome.status = statusStale
 		}
-		return e, duration
+		return outcome, duration
 	}
-	if o.machine == o.source && m.kind == cacheKind {
+	if order.machine == order.source && m.kind == cacheKind {
 		return attemptOutcome{result: resultNotCached, status: w.drawStatus(50, statusUnknown, statusSourceMiss)}, w.random.between(ms, 20*ms)
 	}
-	if o.collapseFills && w.random.percent(4) { // a fill for another director is in progress
-		e.status = statusCollapsed
-		return e, duration + w.random.between(0, 60*ms)
+	if order.collapseFills && w.random.percent(4) { // a fill for another director is in progress
+		outcome.status = statusCollapsed
+		return outcome, duration + w.random.between(0, 60*ms)
 	}
-	return w.serveByFill(a, o, e, duration)
+	return w.serveByFill(a, order, outcome, duration)
 }
 
 // serveByFill returns the outcome of an attempt that needs a fill from its source, and the time until it ends.
-func (w *simulation) serveByFill(a *attempt, o attemptOrder, e attemptOutcome, duration time.Duration) (attemptOutcome, time.Duration) {
-	source, document := w.byID[o.source], a.request.document
+func (w *simulation) serveByFill(
+	a *attempt, order attemptOrder, outcome attemptOutcome, duration time.Duration,
+) (attemptOutcome, time.Duration) {
+	source, document := w.byID[order.source], a.request.document
 	rejection := attemptOutcome{result: resultRejected}
 	if w.random.percent(20) {
 		rejection.result = resultFailed
@@ -122,23 +124,23 @@
 	case w.random.below(300) == 0:
 		rejection.result, rejection.status = resultRejected, statusFillsFull
 		return rejection, w.random.between(ms, 10*ms)
-	case o.onlyIfCached && w.random.percent(40):
+	case order.onlyIfCached && w.random.percent(40):
 		return attemptOutcome{result: resultNotCached, status: statusSourceMiss}, w.random.between(5*ms, 60*ms)
 	case c == slow:
 		duration += w.random.between(200*ms, 900*ms)
 	}
-	e.status, e.sourceWait = w.drawStatus(70, statusFilled, statusFilledByOrigin), w.random.between(20*ms, 80*ms)
+	outcome.status, outcome.sourceWait = w.drawStatus(70, statusFilled, statusFilledByOrigin), w.random.between(20*ms, 80*ms)
 	if source.kind == originKind {
-		e.status = statusFilledByOrigin
+		outcome.status = statusFilledByOrigin
 	}
-	duration += e.sourceWait
-	if a.machine.kind == cacheKind && o.priority > 0 {
+	duration += outcome.sourceWait
+	if a.machine.kind == cacheKind && order.priority > 0 {
 		a.machine.copies[document] = w.now + duration
 	}
 	if w.random.percent(30) {
-		e.sourceWait = 0
+		outcome.sourceWait = 0
 	}
-	return e, duration
+	return outcome, duration
 }
 
 // restart restarts a machine, which loses its copies. Its open attempts are reset.
--- a/internal/replay/world_test.go
+++ b/internal/replay/world_test.go
@@ -280,28 +280,28 @@
 
 // The following methods implement executor. The core calls them.
 
-func (w *simulation) startAttempt(id uint32, o attemptOrder) {
-	w.record.recordCall(w.now, "attempt", "request=%d %s", id, o.line())
-	r, m := w.requests[id], w.byID[o.machine]
-	w.record.countOrder("look", o.machine == o.source)
-	w.record.countOrder("held only", o.onlyIfCached)
-	w.record.countOrder("renew", o.revalidate)
-	w.record.countOrder("join", o.collapseFills)
-	w.record.countOrder("until", o.startBefore > 0)
-	w.record.countOrder("age", o.maxAge > 0)
+func (w *simulation) startAttempt(id uint32, order attemptOrder) {
+	w.record.recordCall(w.now, "attempt", "request=%d %s", id, order.line())
+	r, m := w.requests[id], w.byID[order.machine]
+	w.record.countOrder("look", order.machine == order.source)
+	w.record.countOrder("held only", order.onlyIfCached)
+	w.record.countOrder("renew", order.revalidate)
+	w.record.countOrder("join", order.collapseFills)
+	w.record.countOrder("until", order.startBefore > 0)
+	w.record.countOrder("age", order.maxAge > 0)
 	w.record.countOrder("past the caches", m.kind != cacheKind)
-	w.record.countOrder("by origin", w.byID[o.source].kind == originKind)
-	w.record.countOrder([...]string{"rank 0", "rank 1", "rank 2", "rank 3"}[o.priority], true)
+	w.record.countOrder("by origin", w.byID[order.source].kind == originKind)
+	w.record.countOrder([...]string{"rank 0", "rank 1", "rank 2", "rank 3"}[order.priority], true)
 	w.record.countOrder("retry", len(r.attempts) > 0)
 	w.countMachine(m)
 	a := &attempt{request: r, number: len(r.attempts), startedAt: w.now, machine: m}
 	r.attempts = append(r.attempts, a)
 	m.openAttempts = append(m.openAttempts, a)
-	e, wait := w.drawOutcome(a, o)
-	if e.result == resultTimedOut && w.random.percent(10) {
+	outcome, wait := w.drawOutcome(a, order)
+	if outcome.result == resultTimedOut && w.random.percent(10) {
 		w.record.countEvent("answer lost")
 	}
-	w.schedule(wait, func() { w.finishAttempt(a, e) })
+	w.schedule(wait, func() { w.finishAttempt(a, outcome) })
 }
 
 // countMachine counts the condition of the machine of an attempt, and whether the machine started recently.
@@ -353,64 +353,64 @@
 func (w *simulation) checkHealth(id uint32) {
 	w.record.recordCall(w.now, "check", "machine=%d", id)
 	m := w.byID[id]
-	e := resultServed
+	result := resultServed
 	switch c := w.condition(m); {
 	case w.random.percent(10):
-		e = resultKind(w.random.below(uint64(len(results))))
+		result = resultKind(w.random.below(uint64(len(results))))
 	case c == dead:
-		e = resultConnectFailed
+		result = resultConnectFailed
 	case c == hung:
-		e = resultTimedOut
+		result = resultTimedOut
 	}
 	if w.random.percent(15) {
 		w.record.countEvent("check lost")
 		return
 	}
-	w.schedule(w.random.between(ms, 300*ms), func() { w.sendHealthCheckResult(id, e) })
+	w.schedule(w.random.between(ms, 300*ms), func() { w.sendHealthCheckResult(id, result) })
 }
 
-func (w *simulation) sendHealthCheckResult(id uint32, e resultKind) {
-	w.record.countEvent("check " + results[e].name)
-	w.core.handleHealthCheck(w.now, id, e)
+func (w *simulation) sendHealthCheckResult(id uint32, result resultKind) {
+	w.record.countEvent("check " + results[result].name)
+	w.core.handleHealthCheck(w.now, id, result)
 }
 
 // finishAttempt reports the end of an attempt to the core.
-func (w *simulation) finishAttempt(a *attempt, e attemptOutcome) {
+func (w *simulation) finishAttempt(a *attempt, outcome attemptOutcome) {
 	if a.finished {
 		return
 	}
 	a.finished = true
 	a.machine.openAttempts = slices.DeleteFunc(a.machine.openAttempts, func(o *attempt) bool { return o == a })
 	r := a.request
-	e.attempt, e.duration = a.number, w.now-a.startedAt
-	e.stalled = w.random.below(80) == 0
-	e.status = w.reportedStatus(e.status)
-	e.final = e.result == resultServed || r.answered || w.random.below(400) == 0
-	w.record.countEvent("ending " + results[e.result].name)
-	w.record.countEvent("fill " + cacheStatuses[e.status].name)
-	if e.stalled {
+	outcome.attempt, outcome.duration = a.number, w.now-a.startedAt
+	outcome.stalled = w.random.below(80) == 0
+	outcome.status = w.reportedStatus(outcome.status)
+	outcome.final = outcome.result == resultServed || r.answered || w.random.below(400) == 0
+	w.record.countEvent("ending " + results[outcome.result].name)
+	w.record.countEvent("fill " + cacheStatuses[outcome.status].name)
+	if outcome.stalled {
 		w.record.countEvent("director paused")
 	}
 	if r.answered {
 		w.record.countEvent("ending after the answer")
 	}
-	if e.result == resultServed {
+	if outcome.result == resultServed {
 		w.clientServed[r.client] = true
 	}
-	w.repeatLastOutcome = func() { w.core.handleOutcome(w.now, r.id, e) }
-	if e.final {
+	w.repeatLastOutcome = func() { w.core.handleOutcome(w.now, r.id, outcome) }
+	if outcome.final {
 		w.finishRequest(r, w.random.between(0, w.scenario.maxThinkTime))
 	}
-	w.core.handleOutcome(w.now, r.id, e)
+	w.core.handleOutcome(w.now, r.id, outcome)
 	w.removeIfDone(r)
 }
 
 // reportedStatus returns the cache status of a response, or statusUnknown if the scenario's responses do not report it.
-func (w *simulation) reportedStatus(f cacheStatus) cacheStatus {
+func (w *simulation) reportedStatus(status cacheStatus) cacheStatus {
 	switch {
-	case w.scenario.reporting == reportAll, w.scenario.reporting == reportHits && f == statusHit,
-		w.scenario.reporting == reportFills && (f == statusHit || f == statusFilled || f == statusFilledByOrigin):
-		return f
+	case w.scenario.reporting == reportAll, w.scenario.reporting == reportHits && status == statusHit,
+		w.scenario.reporting == reportFills && (status == statusHit || status == statusFilled || status == statusFilledByOrigin):
+		return status
 	}
 	return statusUnknown
 }
--- a/internal/routing/limits.go
+++ b/internal/routing/limits.go
@@ -66,10 +66,10 @@
 	return admits(cache.inFlight, cache.limit.max*d.objectiveSlack(request), drawn)
 }
 
-// sourceAdmits reports whether a source's limit admits a fill for a request. The salt drawnFor makes the draw independent of
+// sourceAdmits reports whether a source's limit admits a fill for a request. salt makes the draw independent of
 // the request's draws for other sources.
-func (d *Director) sourceAdmits(request *openRequest, source *endpoint, drawnFor uint64) bool {
-	return admits(source.inFlight, source.limit.max, hash(d.identity, uint64(request.token), drawnFor))
+func (d *Director) sourceAdmits(request *openRequest, source *endpoint, salt uint64) bool {
+	return admits(source.inFlight, source.limit.max, hash(d.identity, uint64(request.token), salt))
 }
 
 // objectiveSlack returns a factor for limits. It is greater than 1 for a request whose latency objective is many times its
--- a/internal/routing/limits_test.go
+++ b/internal/routing/limits_test.go
@@ -198,7 +198,7 @@
 				site.serve(segmentedClass, 1+object, 1300*ms, outcome)
 			}
 			if unchanged := site.director.linkLimit.max >= initialLinkLimit; unchanged != sizeReported {
-				t.Errorf("size reported %v: unexpected link limit %.1f", sizeReported, site.director.linkLimit.max)
+				t.Errorf("size reported %v: link limit %.1f, want unchanged only if reported", sizeReported, site.director.linkLimit.max)
 			}
 			if class := site.director.classes[segmentedClass]; sizeReported && (class.minSendTime < 800*ms || class.sendTime < 800*ms) {
 				t.Errorf("expected sending time of answers that take 900 ms: got %v, want at least 800 ms", class.minSendTime)
--- a/internal/routing/slowstart.go
+++ b/internal/routing/slowstart.go
@@ -35,10 +35,10 @@
 
 // allowance states what one director may send to an endpoint that is warming up. Quantities are in seconds of sending time.
 type allowance struct {
-	rate        float64 // tokens earned per second
-	maxTokens   float64 // maximum tokens that may be saved up
-	meanAttempt float64 // mean sending time of the class with the longest one
-	byChance    bool    // attempts are earned randomly, because the sum of what all directors could save up would be too much at once
+	rate           float64 // tokens earned per second
+	maxTokens      float64 // maximum tokens that may be saved up
+	meanAttempt    float64 // mean sending time of the class with the longest one
+	earnedRandomly bool    // set if the sum of what all directors could save up would be too much at once
 }
 
 // slowStartOf returns the slow start settings for an endpoint's role.
@@ -60,7 +60,7 @@
 	target.startKnown, target.startedAt, target.slowStartTokensAt = true, startedAt, now
 	target.slowStartPhase = unitInterval(d.chance(target.id))
 	target.slowStartTokens = 0
-	if allowed := d.allowance(now, target); allowed.byChance {
+	if allowed := d.allowance(now, target); allowed.earnedRandomly {
 		target.slowStartTokens = -d.drawInterval(target) * allowed.meanAttempt
 	}
 }
@@ -88,7 +88,7 @@
 	earned := allowed.rate * (now - target.slowStartTokensAt).Seconds()
 	target.slowStartTokens = min(target.slowStartTokens+earned, allowed.maxTokens)
 	target.slowStartTokensAt = now
-	if !allowed.byChance {
+	if !allowed.earnedRandomly {
 		return target.slowStartTokens >= target.slowStartPhase*allowed.meanAttempt
 	}
 	if target.slowStartTokens >= allowed.maxTokens {
@@ -111,8 +111,8 @@
 	share := slowStartSafety * permitted / sharers            // attempts of this director in a window
 	saved := max(1, slowStartBurst*share)                     // in attempts; with less than one, a director with a high phase would never send
 	roundings := slowStartDeviations / 2 * math.Sqrt(sharers) // variation of the sum of all directors' rounding, in attempts
-	allowed.byChance = sharers*(share+saved)+roundings > slowStartLimit(permitted)
-	if allowed.byChance {
+	allowed.earnedRandomly = sharers*(share+saved)+roundings > slowStartLimit(permitted)
+	if allowed.earnedRandomly {
 		share = min(share, slowStartMean(permitted)/(1+earnedAttemptLifetime)/sharers)
 		saved = earnedAttemptLifetime * share
 	}
@@ -130,8 +130,8 @@
 	return start.OverloadMultiple * warmShare * warm * window / attempt
 }
 
-// slowStartLimit returns how many attempts in a window an endpoint tolerates if N attempts are permitted: N + 2·√N + 2, or N +
-// 3·√N + 3 if N is less than smallWindow.
+// slowStartLimit returns how many attempts in a window an endpoint tolerates if N attempts are permitted. The result is N +
+// 2·√N + 2, or N + 3·√N + 3 if N is less than smallWindow.
 func slowStartLimit(attempts float64) float64 {
 	if attempts < smallWindow {
 		return attempts + 3*math.Sqrt(attempts) + 3
@@ -161,7 +161,7 @@
 	if target.role == originNode || d.isWarm(now, target) {
 		return 0
 	}
-	if d.allowance(now, target).byChance {
+	if d.allowance(now, target).earnedRandomly {
 		work = max(target.slowStartTokens, 0) + work*d.drawInterval(target)
 	}
 	target.slowStartTokens -= work
--- a/internal/routing/source.go
+++ b/internal/routing/source.go
@@ -29,9 +29,9 @@
 	fillLatencyAt time.Duration // time of its last update
 }
 
-// fadedFillLatency returns the smoothed fill latency in nanoseconds. It decays while it is not updated, so that a source that
+// decayedFillLatency returns the smoothed fill latency in nanoseconds. It decays while it is not updated, so that a source that
 // was slow is tried again.
-func (state *fillLatencyState) fadedFillLatency(now time.Duration) float64 {
+func (state *fillLatencyState) decayedFillLatency(now time.Duration) float64 {
 	return float64(state.fillLatency) * math.Exp2(-float64(now-state.fillLatencyAt)/float64(fillLatencyHalfLife))
 }
 
@@ -44,7 +44,7 @@
 // recordOverdueFill raises the fill latency to the elapsed time of a fill that has not ended yet. One of many directors has few
 // fills from each source, so it should not wait for their ends.
 func (state *fillLatencyState) recordOverdueFill(now, latency time.Duration) {
-	if float64(latency) > state.fadedFillLatency(now) {
+	if float64(latency) > state.decayedFillLatency(now) {
 		state.fillLatency, state.fillLatencyAt = latency, now
 	}
 }
@@ -120,7 +120,7 @@
 func (d *Director) fasterParent(now time.Duration, request *openRequest, parents []*endpoint) *endpoint {
 	order := ranked(request.document.key, parents)
 	slices.SortStableFunc(order, func(a, b *endpoint) int { return a.hubDistance - b.hubDistance })
-	if len(order) > 1 && order[1].fadedFillLatency(now)*minSpeedupToSwitch < order[0].fadedFillLatency(now) {
+	if len(order) > 1 && order[1].decayedFillLatency(now)*minSpeedupToSwitch < order[0].decayedFillLatency(now) {
 		return order[1]
 	}
 	return order[0]
