--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkRequest is a request from its arrival to its answer, with the period's share of diffusion, at 100 requests a second,
-// each for a segment not requested before, whose endpoints have to be ranked.
+// BenchmarkRequest measures a request from its arrival to its answer, including the proportional cost of diffusion, at 100
+// requests per second. Each request is for a new segment, so the endpoints must be ranked.
 func BenchmarkRequest(b *testing.B) {
 	for _, directors := range []int{1, 20, 300} {
 		for _, caches := range []int{4, 200} {
@@ -17,7 +17,7 @@
 				b.ReportAllocs()
 				for i := range b.N {
 					id := uint32(i + 1)
-					serveHit(director, now, Request{ID: id, Object: uint64(i / 2), Part: uint32(i % 2), Deadline: now + 4*time.Second})
+					serveHit(director, now, Request{ID: id, Object: uint64(i / 2), Segment: uint32(i % 2), Deadline: now + 4*time.Second})
 					if now += 10 * ms; i%50 == 0 {
 						director.HandleTimer(now, 0)
 					}
