--- a/internal/director/accept_backlog.go
+++ b/internal/director/accept_backlog.go
@@ -8,22 +8,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// How long an accepted connection may have waited to be accepted.
+// This file estimates how long a connection may have waited before it was accepted.
 
 const (
-	// acceptFaultDelay is how long a connection may have waited before the call of accept that should have returned it failed.
+	// acceptFaultDelay is the longest time that a connection may have waited when the call of accept that should have returned
+	// it failed.
 	acceptFaultDelay = 5 * time.Millisecond
-	// maxAcceptGap is the longest time between two calls of accept that does not count as a delay. Connections count as
-	// waiting through a longer one.
+	// maxAcceptGap is the longest time between two calls of accept that does not count as a delay. After a longer one,
+	// queued connections are assumed to have waited during it.
 	maxAcceptGap = 5 * time.Millisecond
-	// acceptBacklogTimeout is how long, from the first connection accepted after a delay, other connections that were already
-	// queued may have waited through the delay as well. It bounds for how long clients that connect without a pause count as
-	// late.
+	// acceptBacklogTimeout is how long after the first connection accepted after a delay further connections are assumed to
+	// have been queued during the delay as well. Without it, clients that connect without a pause would count as late for ever.
 	acceptBacklogTimeout = 100 * time.Millisecond
 )
 
-// acceptQueue tells whether connections wait to be accepted by a listener. The queue of a listener that is not a socket counts
-// as empty.
+// acceptQueue reports whether connections wait to be accepted by a listener. The queue of a listener that is not a socket
+// counts as empty.
 type acceptQueue struct {
 	raw syscall.RawConn // nil: the listener is not a socket
 }
@@ -54,14 +54,14 @@
 }
 
 // acceptBacklog records since when a connection may have waited to be accepted. While accept fails, the process is stalled or
-// the accepting goroutine is delayed, clients connect and write all the same, and their deadlines run. Times count from the
-// director's start.
+// the accepting goroutine is delayed, clients still connect and write, and their deadlines run. Times count from the director's
+// start.
 type acceptBacklog struct {
-	emptyAt      time.Duration // when no connection waited last, as far as is known
+	emptyAt      time.Duration // the last time at which no connection was known to wait
 	lastReturned time.Duration // when the last call of accept returned
-	waiting      bool          // connections may have waited through a fault, a stall or another delay
-	since        time.Duration // if waiting: the earliest time since which they may have waited
-	until        time.Duration // if waiting: connections accepted by then may have waited; 0: none accepted since the delay
+	waiting      bool          // connections may have waited during a fault, a stall or another delay
+	since        time.Duration // if waiting: the earliest time at which their wait may have begun
+	until        time.Duration // if waiting: connections accepted until then may have waited; 0: none accepted since the delay
 }
 
 // noteQueue records whether the accept queue was empty just before a call of accept.
@@ -76,16 +76,16 @@
 	}
 }
 
-// noteFault records a call of accept that failed. The arrival is the earliest time at which the connection that the call met
-// may have come. After a stall of the process that is before the call returned.
+// noteFault records a call of accept that failed. The arrival is the earliest time at which the connection that the call would
+// have returned may have arrived. After a stall of the process it is before the call returned.
 func (b *acceptBacklog) noteFault(called, returned, arrival time.Duration) {
 	faultAt := max(called, returned-acceptFaultDelay)
 	b.begin(min(arrival, faultAt))
 	b.lastReturned = returned
 }
 
-// noteAccepted records a call of accept that returned a connection. It returns the earliest time since which that connection
-// may have waited.
+// noteAccepted records a call of accept that returned a connection. It returns the earliest time at which that connection's
+// wait may have begun.
 func (b *acceptBacklog) noteAccepted(returned, arrival time.Duration) time.Duration {
 	b.lastReturned = returned
 	if arrival < returned {
@@ -103,7 +103,7 @@
 	return min(arrival, b.since)
 }
 
-// begin records that connections may have waited since a time. An earlier time already recorded stays.
+// begin records that connections may have waited since the given time, or since the recorded time if that is earlier.
 func (b *acceptBacklog) begin(from time.Duration) {
 	if b.waiting {
 		from = min(from, b.since)
--- a/internal/director/attempt.go
+++ b/internal/director/attempt.go
@@ -10,24 +10,24 @@
 
 // The states of an attempt:
 //
-//	queued    enqueueAttempt put it on a connection, or no connection has it yet
-//	writing   some of it may have left; it returns to queued if no byte did (putBack)
-//	written   the node has it completely and may execute it
-//	finished  it has its Ending and is in the request's attemptEnds
+//	queued    it waits in the queue of a connection (enqueueAttempt), or is not on a connection yet
+//	writing   some of its bytes may have been written; if none was, it returns to queued (putBack)
+//	written   it was written completely, and the node may execute it
+//	finished  it has its Ending and was sent to the request's attemptEnds
 //
 // Only advance changes the state, and only finish ends the attempt.
 
-// attempt is one try to have a request served by a node. The pool's mutex guards what changes after its start. Times count
-// from the director's start.
+// attempt is one attempt to serve a request through a node. The pool's mutex guards the fields that change after newAttempt.
+// Times count from the director's start.
 type attempt struct {
 	request     *request
 	number      int           // index in the request's attempts
 	command     resp.Request  // the message to the node; its Timeout is set when it is written
 	orderedAt   time.Duration // when routing ordered it
-	startBefore time.Duration // it must not begin at this time or later; 0: no bound
+	startBefore time.Duration // writing it must begin before this time; 0: no bound
 	conn        *nodeConn     // the connection that carries it; nil: none
 	state       attemptState
-	unwanted    bool          // its request is settled: it is cancelled if it turns out that no byte has left
+	unwanted    bool          // its request is settled; it is cancelled if no byte of it was written
 	writtenAt   time.Duration // when it was completely written; 0: not yet
 
 	// Set before the attempt is handed over to the request's goroutine, and not changed after that.
@@ -42,13 +42,13 @@
 type attemptState uint8
 
 const (
-	attemptQueued   attemptState = iota // no byte of it has left
-	attemptWriting                      // some of it may have left
+	attemptQueued   attemptState = iota // no byte of it was written
+	attemptWriting                      // some of its bytes may have been written
 	attemptWritten                      // it was written completely
 	attemptFinished                     // it has its Ending
 )
 
-// newAttempt returns the next attempt of a request, as routing ordered it.
+// newAttempt returns the next attempt of a request for an order of routing.
 func newAttempt(request *request, order routing.AttemptOrder) *attempt {
 	next := &attempt{
 		request:   request,
@@ -80,7 +80,7 @@
 	}
 }
 
-// hasBegun returns whether the attempt is unfinished and some of it may have left.
+// hasBegun returns whether the attempt is unfinished and some of its bytes may have been written.
 func (a *attempt) hasBegun() bool { return a.state == attemptWriting || a.state == attemptWritten }
 
 // isFinished returns whether the attempt has its Ending.
@@ -105,7 +105,7 @@
 	a.request.attemptEnds <- a // never blocks: the channel holds every attempt
 }
 
-// cancel cancels the attempt. The attempt ends once the node was notified, or cannot be.
+// cancel cancels the attempt. The attempt ends once the node was notified or can no longer be notified.
 func (a *attempt) cancel(reason Ending) {
 	pool := a.request.director.pool
 	pool.mu.Lock()
@@ -115,8 +115,8 @@
 	}
 }
 
-// cancelUnsent cancels the attempt unless some of it may have left. One that may have left is marked as unwanted, and is
-// cancelled if it turns out that no byte has left.
+// cancelUnsent cancels the attempt unless some of its bytes may have been written. In that case it marks the attempt as
+// unwanted, and the writer cancels it if it has written no byte.
 func (a *attempt) cancelUnsent() {
 	pool := a.request.director.pool
 	pool.mu.Lock()
@@ -130,7 +130,7 @@
 	}
 }
 
-// outcome returns what routing learns of an attempt that has ended.
+// outcome returns the outcome of an ended attempt in the form that routing uses.
 func (a *attempt) outcome() routing.Outcome {
 	outcome := routing.Outcome{
 		Attempt:         a.number,
@@ -146,8 +146,8 @@
 	return outcome
 }
 
-// sendTime returns how long it takes to send so many bytes at the configured transfer rate. It is 0 if the configuration
-// names no rate, and for an empty body, as when the client's own copy is valid.
+// sendTime returns how long sending the given number of bytes takes at the configured transfer rate. It is 0 if no rate is
+// configured, and for an empty body, such as when the client's own copy is valid.
 func (d *Director) sendTime(bytes int) time.Duration {
 	if d.config.TransferRate <= 0 {
 		return 0
--- a/internal/director/bench_test.go
+++ b/internal/director/bench_test.go
@@ -15,14 +15,14 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// idleDirector returns a director that knows so many caches and has no sockets, with the list of its endpoints.
+// idleDirector returns a director with the given number of caches and without sockets, and the list of its endpoints.
 func idleDirector(b *testing.B, machines int) (*Director, []discovery.Endpoint) {
 	parent := `{"host":"s-000000aa","dial":"127.0.0.1:1","site":"here","class":"mid","health":"SERVING"}`
 	conf := parseConfig(b, []string{parent}, "127.0.0.1:1", nil)
 	log := logrus.New()
 	logged := &logRecorder{}
 	log.SetOutput(logged)
-	b.Cleanup(func() { // a panic in routing shows in the log only
+	b.Cleanup(func() { // a panic in routing is only logged
 		if logged.text.Len() > 0 {
 			b.Error(logged.text.String())
 		}
@@ -37,7 +37,7 @@
 	return d, list
 }
 
-// applyAsNext makes the director apply an event as its next one.
+// applyAsNext makes the director apply an event with the next number.
 func applyAsNext(b *testing.B, d *Director, e discovery.Event) {
 	e.Number = d.lastEvent + 1
 	if err := d.handleEvent(0, e); err != nil || d.lastEvent != e.Number {
@@ -47,7 +47,7 @@
 
 var endpointCounts = []int{20, 70, 140, 280}
 
-// BenchmarkScaleApplyList applies the complete list of endpoints, of which one has changed, to connections and routing.
+// BenchmarkScaleApplyList applies a complete list of endpoints in which one endpoint has changed.
 func BenchmarkScaleApplyList(b *testing.B) {
 	for _, n := range endpointCounts {
 		b.Run(fmt.Sprintf("machines=%d", n), func(b *testing.B) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// BenchmarkScaleApplyPurge applies one purge, for several numbers of objects that were purged before.
+// BenchmarkScaleApplyPurge applies one purge, for several numbers of earlier purges.
 func BenchmarkScaleApplyPurge(b *testing.B) {
 	for _, n := range []int{100, 500, 1000, 5000, 10000} {
 		b.Run(fmt.Sprintf("purges=%d", n), func(b *testing.B) {
@@ -110,10 +110,10 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkScaleClients measures the heap and stacks of idle client connections on which one message was answered. The
-// clients' ends, which are in the same process, count as well. ns/op covers connecting, that answer and closing.
+// BenchmarkScaleClients measures the heap and stacks of idle client connections on which one message was answered. The memory of
+// the clients' ends, which are in the same process, is included. ns/op covers connecting, the answer and closing.
 func BenchmarkScaleClients(b *testing.B) {
-	const spare = 3 // goroutines of the watch, which come and go
+	const spare = 3 // goroutines of the watch, whose number varies
 	for _, n := range []int{50, 100, 200, 400} {
 		b.Run(fmt.Sprintf("clients=%d", n), func(b *testing.B) {
 			w := startWith(b, 1, []string{`"sockets":64`, `"sockets":4096`}, nil)
@@ -148,7 +148,7 @@
 				w.waitUntil("left", func() bool { return count() == 0 && runtime.NumGoroutine() <= tasks+spare })
 				return took
 			}
-			round() // creates what later rounds use again
+			round() // allocates memory that later rounds reuse
 			bytes, times := int64(0), 0
 			for b.Loop() {
 				bytes += round()
@@ -159,8 +159,8 @@
 	}
 }
 
-// BenchmarkForwardedRequest measures a request from the client's write to the answer, forwarded once to a node that answers at
-// once. The client and the node are in the same process, so their work counts as well.
+// BenchmarkForwardedRequest measures a request from the client's write to the answer, with one attempt at a node that answers
+// immediately. The client and the node are in the same process, so their work is included.
 func BenchmarkForwardedRequest(b *testing.B) {
 	w := start(b, 1)
 	b.ReportAllocs()
--- a/internal/director/bounds.go
+++ b/internal/director/bounds.go
@@ -7,26 +7,26 @@
 	"indigochute.example/indigochute/internal/config"
 )
 
-// The bounds of what the director holds at a time, and the count of the bodies that requests hold.
+// This file has the director's resource bounds and the accounting of body bytes held by requests.
 
-// bounds are the limits of what this director holds. They guard against clients and nodes that make it run out of descriptors
-// or memory. A request over a bound is rejected, never queued.
+// bounds are the limits on the resources that this director holds at a time. They keep clients and nodes from exhausting its
+// descriptors or memory. A request over a bound is rejected, never queued.
 type bounds struct {
 	clientSockets      int // connections of clients
 	nodeSockets        int // connections to nodes
 	maxRequests        int // open requests
 	maxBodyBytes       int64
-	maxClientBodyBytes int64 // of one client, so that a client that reads slowly leaves memory for others
+	maxClientBodyBytes int64 // per client, so that a client that reads slowly does not use up the memory for others
 }
 
 const (
 	bytesPerMB      = 1 << 20
-	bytesPerRequest = 16 << 10 // of a request without its body: stack, buffers, records
-	gcPercent       = 400      // the collector runs seldom while memory use is far from the limit
+	bytesPerRequest = 16 << 10 // of a request without its body: stack, buffers and records
+	gcPercent       = 400      // the collector runs rarely while memory use is far from the limit
 )
 
 // newBounds divides the configured sockets and memory. Half of the sockets are for clients, including connections that are
-// ending. A third is for nodes. The rest is for discovery, the listener and as a reserve. A quarter of the memory is for
+// closing. A third is for nodes. The rest is for discovery, the listener and a reserve. A quarter of the memory is for
 // requests, and another quarter for bodies.
 func newBounds(conf *config.Config) bounds {
 	quarter := int64(conf.MemoryMB) * bytesPerMB / 4
@@ -40,16 +40,16 @@
 	}
 }
 
-// Limit sets the limits of the Go runtime for the process: the number of threads that run at a time, and the memory from
-// which on the garbage collector works harder, three quarters of the configured memory.
+// Limit sets the limits of the Go runtime for the process: the number of threads that run at a time, and the memory
+// limit above which the garbage collector runs more often, three quarters of the configured memory.
 func Limit(conf *config.Config) {
 	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
 	debug.SetMemoryLimit(int64(conf.MemoryMB) * bytesPerMB * 3 / 4)
 	debug.SetGCPercent(gcPercent)
 }
 
-// reserveOwnBody reserves the request's own body. It returns false for a client that already holds more than half of its
-// bound, as there might be no memory for the answer.
+// reserveOwnBody reserves the bytes of the request's own body. It returns false if the client already holds more than half of
+// its bound, since the rest may be needed for the answer.
 func (r *request) reserveOwnBody() bool {
 	if r.client.bodyBytes.Load() > r.director.bounds.maxClientBodyBytes/2 {
 		return false
@@ -57,8 +57,8 @@
 	return r.reserveBody(len(r.message.Body))
 }
 
-// reserveBody counts a body that the request holds until its end. It returns false, and counts nothing, if all bodies or
-// those of the client would exceed their bound.
+// reserveBody reserves the bytes of a body that the request holds until it ends. If the bodies of all requests or those of the
+// client would exceed their bound, it reserves nothing and returns false.
 func (r *request) reserveBody(size int) bool {
 	r.countBytes(int64(size))
 	bounds := &r.director.bounds
--- a/internal/director/client_answers.go
+++ b/internal/director/client_answers.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Writing answers to a client. The goroutine of a request writes its answer, and waits for a client that reads slowly. Short
-// answers, such as rejections for a bound, come from the reader's goroutine, which must not wait. They are queued, and
-// writeShortAnswers writes them.
+// This file writes answers to a client. The goroutine of a request writes its answer itself, and waits if the client reads
+// slowly. Short answers, such as rejections for a bound, come from the reader's goroutine, which must not wait. They are queued
+// and written by writeShortAnswers.
 
-// postShort queues a short answer. If the queue is full it waits for a place. A client that has not made room within
-// shortAnswerTimeout counts as gone, and its connection is closed.
+// postShort queues a short answer. If the queue is full it waits for a place. If there is none within shortAnswerTimeout, the
+// client counts as gone and its connection is closed.
 func (c *clientConn) postShort(answer []byte) {
 	for expired := time.After(shortAnswerTimeout); !c.tryPostShort(answer); {
 		select {
@@ -57,7 +57,7 @@
 }
 
 // takeShortAnswers empties the queue of short answers and returns them. If the queue is empty or the connection is closed, it
-// returns nil and records that the writer ends.
+// returns nil and records that writeShortAnswers ends.
 func (c *clientConn) takeShortAnswers() [][]byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -71,8 +71,8 @@
 	return answers
 }
 
-// write writes answers to the client. Calls of several goroutines take turns. It closes the connection if a write fails or
-// takes longer than clientWriteTimeout.
+// write writes answers to the client. It serializes calls of several goroutines. It closes the connection if the write fails
+// or takes longer than clientWriteTimeout.
 func (c *clientConn) write(answers ...[]byte) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// writeParts writes the parts in order. On a socket that takes a single system call as a rule.
+// writeParts writes the parts in order. On a TCP socket this normally takes a single system call.
 func writeParts(conn net.Conn, parts [][]byte) error {
 	if socket, ok := conn.(*net.TCPConn); ok {
 		buffers := net.Buffers(parts)
--- a/internal/director/client_arrival.go
+++ b/internal/director/client_arrival.go
@@ -9,18 +9,18 @@
 	"time"
 )
 
-// When the bytes of a client arrived, and whether some of them lie unread. A process that was stalled, or that accepted a
-// connection late, reads bytes that came long before. Deadlines count from their arrival.
+// This file estimates when a client's bytes arrived, and detects unread bytes. A process that was stalled, or that accepted a
+// connection late, reads bytes that may have arrived long before. Deadlines count from the arrival.
 
-// waitedSince sets the time since which the connection may have waited to be accepted. Bytes that lay on it then count from
-// that time. It must be called before the connection is read.
-func (c *clientConn) waitedSince(at time.Duration) {
+// setConnectedAt sets the earliest time at which the connection may have been established. Bytes that were waiting when it was
+// accepted count as arrived at that time. It must be called before the connection is read.
+func (c *clientConn) setConnectedAt(at time.Duration) {
 	c.connectedAt = at
 	c.emptyAt.Store(int64(at))
 }
 
 // arrivalTime returns the earliest time at which the bytes that the reader reads now may have arrived. Shortly after the
-// connection was accepted that is the time it connected, as the bytes may have waited since then.
+// connection was accepted this is the time at which it was established, since the bytes may have waited since then.
 func (c *clientConn) arrivalTime() time.Duration {
 	clock := c.director.clock
 	emptyAt := time.Duration(c.emptyAt.Load())
@@ -32,7 +32,7 @@
 	return arrival
 }
 
-// noteEmpty records that nothing lay unread at a time. The latest time counts, whichever goroutine records it.
+// noteEmpty records a time at which no bytes were unread. It keeps the latest time; several goroutines may call it.
 func (c *clientConn) noteEmpty(at time.Duration) {
 	for last := c.emptyAt.Load(); int64(at) > last; last = c.emptyAt.Load() {
 		if c.emptyAt.CompareAndSwap(last, int64(at)) {
@@ -41,29 +41,29 @@
 	}
 }
 
-// noteIfEmpty records that nothing lies unread, if that is so. It does so after a stall for a reader that waits and so cannot
-// record it itself. What that reader receives later then counts as arrived after the stall.
+// noteIfEmpty calls noteEmpty if no bytes are unread. It is called after a stall, since a reader that was waiting during the
+// stall has not recorded this itself. Bytes that this reader receives later then count as arrived after the stall.
 func (c *clientConn) noteIfEmpty() {
-	if lookedAt := c.director.clock.now(); c.isCaughtUp() {
-		c.noteEmpty(lookedAt)
+	if checkedAt := c.director.clock.now(); c.isCaughtUp() {
+		c.noteEmpty(checkedAt)
 	}
 }
 
 // isCaughtUp returns whether everything that the client wrote, the end of its stream included, has been read and handled. It
-// must peek first and load behind second, since the reader sets behind before it takes bytes off the socket.
+// must peek before it loads unhandled, since the reader sets unhandled before it reads from the socket.
 func (c *clientConn) isCaughtUp() bool {
 	_, anything := c.peek()
-	return !anything && !c.behind.Load()
+	return !anything && !c.unhandled.Load()
 }
 
-// hasUnread returns whether bytes have arrived that are not read yet.
+// hasUnread returns whether bytes have arrived that have not been read from the socket yet.
 func (c *clientConn) hasUnread() bool {
 	bytes, _ := c.peek()
 	return bytes
 }
 
-// peek returns what the reader would meet next, without waiting: bytes, or anything at all, such as the end of the stream.
-// Both are false for a connection that is not a socket.
+// peek returns without waiting whether the next read would return bytes, and whether it would return anything at all, such as
+// bytes, an error or the end of the stream. Both are false for a connection that is not a socket.
 func (c *clientConn) peek() (bytes, anything bool) {
 	socket, ok := c.socket.(syscall.Conn)
 	if !ok {
@@ -80,15 +80,15 @@
 	return bytes, anything
 }
 
-// drainingReader reads a client's connection. The requests that it has read are started only when it has to wait for more
-// bytes. So a cancellation that arrived together with its request is read before the request is started.
+// drainingReader reads a client's connection. It calls beforeWait, which starts the pending requests, only when it has to wait
+// for more bytes. So a cancellation that arrived together with its request is read before the request is started.
 type drainingReader struct {
 	socket     net.Conn
-	raw        syscall.RawConn        // nil: not a socket, so it is unknown whether something lies unread
-	beforeWait func()                 // called before it waits
-	noteEmpty  func(at time.Duration) // called with a time at which nothing lay unread
+	raw        syscall.RawConn        // nil: not a socket, so it is unknown whether bytes are unread
+	beforeWait func()                 // called each time before Read waits
+	noteEmpty  func(at time.Duration) // called with a time at which no bytes were unread
 	now        func() time.Duration
-	behind     *atomic.Bool // true from before a read until it waits again
+	unhandled  *atomic.Bool // true from before a read until Read waits again
 }
 
 // newDrainingReader returns the reader of a client's connection.
@@ -98,7 +98,7 @@
 		beforeWait: c.startPending,
 		noteEmpty:  c.noteEmpty,
 		now:        c.director.clock.now,
-		behind:     &c.behind,
+		unhandled:  &c.unhandled,
 	}
 	if socket, ok := c.socket.(syscall.Conn); ok {
 		r.raw, _ = socket.SyscallConn()
@@ -110,11 +110,11 @@
 func (r *drainingReader) Read(b []byte) (n int, err error) {
 	if r.raw == nil {
 		r.beforeWait()
-		r.noteEmpty(r.now()) // assumed, as it is unknown
+		r.noteEmpty(r.now()) // assumed, since it cannot be determined
 		return readSome(r.socket, b)
 	}
 	waitErr := r.raw.Read(func(descriptor uintptr) bool {
-		n, err = r.readOrNote(int(descriptor), b)
+		n, err = r.readOrNoteEmpty(int(descriptor), b)
 		return err != syscall.EAGAIN
 	})
 	switch {
@@ -128,19 +128,19 @@
 	return n, nil
 }
 
-// readOrNote reads without waiting. If nothing lies unread it records that and returns EAGAIN. It takes the time before the
-// read: bytes that arrive in between are either read or count as arrived later.
-func (r *drainingReader) readOrNote(descriptor int, b []byte) (n int, err error) {
-	r.behind.Store(true)
-	lookedAt := r.now()
+// readOrNoteEmpty reads without waiting. If no bytes are unread, it records that and returns EAGAIN. The recorded time is taken
+// before the read, so that bytes that arrive in between are either read or count as arrived later.
+func (r *drainingReader) readOrNoteEmpty(descriptor int, b []byte) (n int, err error) {
+	r.unhandled.Store(true)
+	checkedAt := r.now()
 	n, err = syscall.Read(descriptor, b)
 	for err == syscall.EINTR {
 		n, err = syscall.Read(descriptor, b)
 	}
 	if err == syscall.EAGAIN {
 		r.beforeWait()
-		r.noteEmpty(lookedAt)
-		r.behind.Store(false)
+		r.noteEmpty(checkedAt)
+		r.unhandled.Store(false)
 	}
 	return n, err
 }
--- a/internal/director/client_close.go
+++ b/internal/director/client_close.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// How a client's connection ends. Reading stops, open requests are answered, and the client sees the end of the stream. What
-// the client still writes is read and discarded until it closes as well, within a time limit. If the director closed over
-// unread bytes, the system would reset the connection, and answers on their way would be lost.
+// This file closes a client's connection gracefully. The director stops handling messages, answers the open requests and closes
+// its writing side, so that the client sees the end of the stream. It then reads and discards what the client still writes until
+// the client closes as well, within a time limit. If the director closed a socket with unread bytes, the system would reset the
+// connection, and answers in transit would be lost.
 
 const (
-	lingerQuiet     = 200 * time.Millisecond // silence after the last answer that shows that the answer has arrived
-	lingerTimeout   = time.Second            // longest linger after the last answer, whatever the client still writes
-	lingerPoll      = 10 * time.Millisecond  // longest wait for bytes before the state is checked again
+	lingerQuiet     = 200 * time.Millisecond // client silence after the last answer, after which the answer counts as arrived
+	lingerTimeout   = time.Second            // longest linger after the last answer, even if the client still writes
+	lingerPoll      = 10 * time.Millisecond  // longest wait for bytes between two checks of the state
 	lingerBuffer    = 16 << 10               // bytes
-	lastAnswersPoll = time.Millisecond       // between two checks whether all is answered
+	lastAnswersPoll = time.Millisecond       // interval of the checks whether all requests are answered
 )
 
-// shutDown ends the connection gracefully unless it is broken or its client has closed it. Every connection that was read
-// ends here.
+// shutDown closes the connection, gracefully unless it is broken or its client has closed it. It is called for every
+// connection that was read.
 func (c *clientConn) shutDown(socket io.Reader, ending Ending, err error) {
 	c.closeRead()
 	if ending == Closed || ending == Broken {
@@ -33,9 +34,9 @@
 	c.close(ending, err)
 }
 
-// linger reads and discards what the client still writes. It returns once the client has closed or broken the connection.
-// After the client has seen the end of the stream, it also returns once the client was silent for lingerQuiet, or after
-// lingerTimeout.
+// linger reads and discards what the client still writes. It returns once the client has closed the connection or the
+// connection is broken. After the writing side was closed, it also returns once the client has been silent for lingerQuiet, or
+// after lingerTimeout.
 func (c *clientConn) linger(socket io.Reader) {
 	var timer lingerTimer
 	if c.closeWriteIfIdle() { // before anything is read and discarded
@@ -45,7 +46,7 @@
 		c.socket.SetReadDeadline(time.Now().Add(lingerPoll))
 		n, err := socket.Read(buffer)
 		if n == len(buffer) {
-			time.Sleep(uselessPause) // slows down a client that writes at full speed while its requests are open
+			time.Sleep(uselessPause) // slows down a client that writes at full speed while requests are open
 		}
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return
@@ -63,10 +64,10 @@
 	}
 }
 
-// lingerTimer tells when a linger is over. It runs from when the client has seen the end of the stream.
+// lingerTimer determines when a linger ends. It is started when the writing side is closed.
 type lingerTimer struct {
-	quietAt time.Time // when the client counts as silent; each byte that it writes moves it
-	end     time.Time // when lingerTimeout is over; zero: the timer does not run
+	quietAt time.Time // when the client counts as silent; postponed each time the client writes
+	end     time.Time // when lingerTimeout has passed; zero: the timer is not running
 }
 
 // start starts the timer.
@@ -77,10 +78,10 @@
 // isRunning returns whether the timer was started.
 func (l *lingerTimer) isRunning() bool { return !l.end.IsZero() }
 
-// hasExpired returns whether the client has been silent for lingerQuiet, or lingerTimeout is over.
+// hasExpired returns whether the client has been silent for lingerQuiet, or lingerTimeout has passed.
 func (l *lingerTimer) hasExpired(now time.Time) bool { return now.After(l.quietAt) || now.After(l.end) }
 
-// closeWhenIdle orders the connection to end as soon as nothing is open on it. Its reader decides when that is.
+// closeWhenIdle makes the reader close the connection as soon as no request is open on it and no bytes are unread.
 func (c *clientConn) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,8 +89,8 @@
 	c.wakeReaderIfDone()
 }
 
-// closeAfterAnswers orders the connection to end as soon as everything its reader has read is answered. The reader takes no
-// more messages. What lies unread by then was written just before the client sees the end of the stream.
+// closeAfterAnswers makes the reader accept no more messages, and close the connection as soon as all requests that it has read
+// are answered. Bytes that are unread by then were written just before the client sees the end of the stream.
 func (c *clientConn) closeAfterAnswers() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -99,17 +100,17 @@
 	}
 }
 
-// raiseCloseMode is the only place where closeMode changes. Called under mu.
+// raiseCloseMode raises closeMode; it never lowers it. No other function changes closeMode. Called under mu.
 func (c *clientConn) raiseCloseMode(to closeMode) { c.closeMode = max(c.closeMode, to) }
 
-// wakeReaderIfDone wakes the reader, which then ends the connection, if it is to end when idle and is idle. Called under mu.
+// wakeReaderIfDone wakes the reader if the connection is idle and closes when idle. The reader then closes it. Called under mu.
 func (c *clientConn) wakeReaderIfDone() {
 	if c.closeMode >= closesWhenIdle && !c.readClosed && !c.midMessage && c.isIdle() {
 		c.socket.SetReadDeadline(time.Now())
 	}
 }
 
-// awaitLastAnswers waits during the director's shutdown until everything that was read is answered, or the connection is
+// awaitLastAnswers waits, during the director's shutdown, until all requests that were read are answered or the connection is
 // closed.
 func (c *clientConn) awaitLastAnswers() {
 	for c.awaitsLastAnswers() && !c.closeWriteIfIdle() {
@@ -117,14 +118,14 @@
 	}
 }
 
-// awaitsLastAnswers returns whether the connection is open and closes after its answers.
+// awaitsLastAnswers returns whether the connection is open and must close after its answers.
 func (c *clientConn) awaitsLastAnswers() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeMode == closesAfterAnswers && !c.closed
 }
 
-// closeRead records that no more messages are taken.
+// closeRead records that no more messages are accepted.
 func (c *clientConn) closeRead() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,22 +147,23 @@
 	return true
 }
 
-// closeWriteIfCaughtUp does what closeWriteIfIdle does, but only if everything that the client wrote has been read and
-// handled. An incomplete message counts as handled.
+// closeWriteIfCaughtUp calls closeWriteIfIdle if everything that the client wrote has been read and handled. An incomplete
+// message counts as handled.
 func (c *clientConn) closeWriteIfCaughtUp() {
 	if c.isCaughtUp() {
 		c.closeWriteIfIdle()
 	}
 }
 
-// isWriteClosed returns whether the writing side is closed, so that the client sees that no more answers come.
+// isWriteClosed returns whether the writing side is closed, so that the client sees the end of the stream.
 func (c *clientConn) isWriteClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writeClosed
 }
 
-// close closes the connection at once. The requests open on it lose their client. Later calls do nothing more.
+// close closes the connection immediately and notifies its open requests that their client has left. Later calls have no
+// further effect.
 func (c *clientConn) close(ending Ending, err error) {
 	c.socket.Close()
 	if lost, first := c.markClosed(); first {
--- a/internal/director/client_close_test.go
+++ b/internal/director/client_close_test.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// However a client's connection is closed, every request that was read is answered. See also TestAnswersBeforeTheEnd
-// (unreadable message), TestRequestsAsTheConnectionEnds (idle, making room, shutdown), TestShutdownWhileClientsKeepSending
-// (shutdown), TestBodiesBounded (memory over its bound) and TestOnlyUselessMessages.
+// These tests check that every request that was read is answered, however the client's connection is closed. See also
+// TestOpenRequestsAnsweredAfterUnreadableMessage, TestRequestsArrivingBeforeClose (idle, evicted, shutdown),
+// TestShutdownWhileClientsKeepSending, TestBodyBytesBounded and TestOnlyUselessMessages.
 
-// answersUntilTheEnd reads answers until the end of the stream, and counts them by message id.
-func (w *world) answersUntilTheEnd() map[uint32]int {
+// readAnswersUntilEOF reads answers until the end of the stream, and counts them by message id.
+func (w *harness) readAnswersUntilEOF() map[uint32]int {
 	w.t.Helper()
 	answers := map[uint32]int{}
 	for {
 		if _, err := w.reader.Peek(1); err == io.EOF {
 			return answers
 		} else if err != nil {
-			w.t.Fatalf("after %d answers: %v", len(answers), err)
+			w.t.Fatalf("after %d answers: got %v, want another answer or EOF", len(answers), err)
 		}
 		id, _, _ := w.readAnswer()
 		answers[id]++
 	}
 }
 
-// A message id that is used again while it is open ends the connection. Requests behind it are rejected first.
-func TestRequestsBehindAnIDUsedAgain(t *testing.T) {
+// A message with the id of an open request ends the connection. Requests behind it must be rejected before.
+func TestRequestsBehindDuplicateMessageID(t *testing.T) {
 	w := start(t, 1)
 	first, call := w.requestText("page", 5000, "")
 	w.write(call)
 	command := w.nextCommand("GET")
 	last, behind := w.requestText("page", 5000, "")
 	w.write(call + behind)
-	for range 2 { // to the id that was used again, and to the one behind it
+	for range 2 { // to the duplicate id, and to the request behind it
 		if id, word, _ := w.readAnswer(); id == last && word != "Shed" || id == first && word != "Fault" {
-			t.Errorf("%d: %q", id, word)
+			t.Errorf("got answer to %d, %q; want Fault for the duplicate id and Shed behind it", id, word)
 		}
 	}
-	command.reply(t, "HIT", "-", "the first of its id")
-	w.expectAnswer(first, "", "the first of its id")
-	if n := len(w.answersUntilTheEnd()); n != 0 {
-		t.Errorf("%d answers more", n)
+	command.reply(t, "HIT", "-", "to the first request")
+	w.expectAnswer(first, "", "to the first request")
+	if n := len(w.readAnswersUntilEOF()); n != 0 {
+		t.Errorf("got %d more answers, want none", n)
 	}
 }
 
-// Too many useless messages end the connection. Requests behind them are rejected first.
+// Too many useless messages end the connection. Requests behind them must be rejected before.
 func TestRequestsBehindUselessMessages(t *testing.T) {
 	w := start(t, 1)
 	for range maxUselessInRow + 1 {
@@ -57,18 +57,17 @@
 	_, useless := w.requestText("nothing of ours", 5000, "")
 	last, behind := w.requestText("page", 5000, "")
 	w.write(useless + behind)
-	if n := w.answersUntilTheEnd()[last]; n != 1 {
-		t.Errorf("%d answers to a request behind the last useless one", n)
+	if n := w.readAnswersUntilEOF()[last]; n != 1 {
+		t.Errorf("got %d answers to the request behind the last useless one, want 1", n)
 	}
 }
 
-// A client that reads nothing for a while, while more short answers are due than the queue holds, receives them all in the
-// end.
-func TestManyShortAnswersToASlowReader(t *testing.T) {
+// A client that reads nothing while more short answers are due than the queue holds must receive all of them once it reads.
+func TestShortAnswersToSlowReader(t *testing.T) {
 	w := start(t, 1)
-	here, there := net.Pipe() // takes nothing that is not read
-	go newClientConn(w.director, here).read()
-	w.useConn(there)
+	directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
+	go newClientConn(w.director, directorConn).read()
+	w.useConn(peerConn)
 	const all = maxOpenPerClient + maxShortAnswers + 20
 	text := ""
 	for range all {
@@ -77,13 +76,13 @@
 	}
 	wrote := make(chan error, 1)
 	go func() {
-		_, err := io.WriteString(there, text)
+		_, err := io.WriteString(peerConn, text)
 		wrote <- err
 	}()
 	time.Sleep(shortAnswerTimeout / 4)
 	for i := range all {
 		if _, err := w.reader.Peek(1); err != nil {
-			t.Fatalf("after %d answers: %v", i, err)
+			t.Fatalf("after %d answers: got %v, want another answer", i, err)
 		}
 		w.readAnswer()
 	}
@@ -109,9 +108,9 @@
 	return c.Conn.Close()
 }
 
-// A connection for which there is no place is closed before anything of it is read. An ending connection is closed for it only
-// once its client has seen the end of the stream, as a request may still be read there.
-func TestNoPlaceLeft(t *testing.T) {
+// A connection for which there is no place must be closed before it is read. A closing connection may be closed for it only once
+// its writing side is closed, since requests may be read from it until then.
+func TestAdmitWithoutFreePlace(t *testing.T) {
 	w := start(t, 1)
 	s := &clientSet{max: 1, active: map[*clientConn]bool{}}
 	ending := newClientConn(w.director, nil)
@@ -119,36 +118,36 @@
 	idleSocket, _ := net.Pipe()
 	busy, idle := newClientConn(w.director, nil), newClientConn(w.director, idleSocket)
 	busy.open[1] = &request{}
-	// A busy connection cannot make room. An idle one could, but ending connections take all places reserved for them.
+	// A busy connection cannot be evicted. An idle one could be, but all places for closing connections are taken.
 	for _, active := range []*clientConn{busy, idle} {
 		s.active = map[*clientConn]bool{active: true}
-		here, _ := net.Pipe()
-		socket := &readCounter{Conn: here, closed: make(chan struct{})}
+		directorConn, _ := net.Pipe()
+		socket := &readCounter{Conn: directorConn, closed: make(chan struct{})}
 		if s.admit(newClientConn(w.director, socket), w.director.clock.now()) {
-			t.Error("admitted although there is no place")
+			t.Error("connection was admitted, want no place")
 		}
 		select {
 		case <-socket.closed:
 		case <-time.After(testTimeout):
-			t.Fatal("not closed")
+			t.Fatal("the rejected connection was not closed")
 		}
 		if n := socket.reads.Load(); n != 0 {
 			t.Errorf("read %d times, want none", n)
 		}
 	}
-	here, _ := net.Pipe()
-	ended := &readCounter{Conn: here, closed: make(chan struct{})}
+	directorConn, _ := net.Pipe()
+	ended := &readCounter{Conn: directorConn, closed: make(chan struct{})}
 	ending.socket = ended
 	ending.writeClosed = true
 	next, _ := net.Pipe()
 	if !s.admit(newClientConn(w.director, next), w.director.clock.now()) {
-		t.Error("not admitted although an ending connection has seen the end of its stream")
+		t.Error("connection was not admitted, want it to replace the closing one whose writing side is closed")
 	}
 	<-ended.closed
 }
 
-// A request that routing forgets through a defect is still answered.
-func TestForgottenRequest(t *testing.T) {
+// A request that routing has lost because of a defect must still be answered.
+func TestRequestLostByRouting(t *testing.T) {
 	w := start(t, 1)
 	id := w.sendRequest("page", 300, "")
 	w.nextCommand("GET")
@@ -163,8 +162,8 @@
 	}
 }
 
-// After a panic in its goroutine a request is answered, its attempts are cancelled, and the connection goes on.
-func TestPanicIsAnswered(t *testing.T) {
+// After a panic in its goroutine, a request must be answered and its attempts cancelled, and the connection must stay usable.
+func TestPanicInRequestAnswered(t *testing.T) {
 	w := start(t, 1)
 	id := w.sendRequest("order", 5000, "x")
 	w.nextCommand("GET")
--- a/internal/director/client_conn.go
+++ b/internal/director/client_conn.go
@@ -7,68 +7,69 @@
 	"time"
 )
 
-// A connection of a client: its state, its bounds and what it holds. client_reader.go reads it, client_arrival.go tells when
-// the bytes read arrived, client_requests.go has its requests, client_answers.go its answers, client_close.go its end.
+// This file has the state and the bounds of a client's connection. client_reader.go reads messages, client_arrival.go estimates
+// when they arrived, client_requests.go handles requests, client_answers.go writes answers, and client_close.go closes the
+// connection.
 
 const (
-	firstMessageTimeout = 2 * time.Second  // from connecting until a complete message has arrived
+	firstMessageTimeout = 2 * time.Second  // from connecting to the end of the first message
 	clientIdleTimeout   = 6 * time.Second  // without an open request; clients close idle connections sooner
 	messageTimeout      = 2 * time.Second  // from the first byte of a message to its last
 	clientWriteTimeout  = 10 * time.Second // for writing one answer; a client that takes longer counts as gone
-	// maxOpenPerClient bounds the open requests of one client. It is somewhat higher than the number that a client may have
-	// open, as answers are still on their way.
+	// maxOpenPerClient bounds the open requests of one client. It is somewhat higher than the number that the protocol allows a
+	// client, since a request still counts while its answer is being written.
 	maxOpenPerClient = 40
-	// maxGoroutinesPerClient bounds the goroutines of one client's requests. It is higher than maxOpenPerClient, as requests
-	// still run for a while after they were answered.
+	// maxGoroutinesPerClient bounds the goroutines of one client's requests. It is higher than maxOpenPerClient, since the
+	// goroutine of a request runs for a while after the answer.
 	maxGoroutinesPerClient = 64
 	maxShortAnswers        = 256                   // short answers queued for a client that does not read
-	shortAnswerTimeout     = 2 * time.Second       // for how long a short answer waits for a place in the full queue
-	maxPendingWait         = 20 * time.Millisecond // for how long a request may wait until the bytes behind it are read
+	shortAnswerTimeout     = 2 * time.Second       // longest wait of a short answer for a place in the full queue
+	maxPendingWait         = 20 * time.Millisecond // longest wait of a request until the bytes behind it are read
 )
 
-// clientConn is one connection of a client. Only the goroutine of its reader decides that it ends, so that no request is read
-// and then left without an answer. Times count from the director's start.
+// clientConn is one connection of a client. Only its reader's goroutine starts a graceful close, so that every request that was
+// read is answered. Times count from the director's start.
 type clientConn struct {
 	director   *Director
 	socket     net.Conn
-	serveSlots chan struct{} // semaphore that holds an item for each running goroutine of its requests
+	serveSlots chan struct{} // semaphore with an item for each running goroutine of its requests
 
-	acceptedAt  time.Duration // when the director accepted it
-	connectedAt time.Duration // the earliest time since which it may have waited to be accepted
+	acceptedAt  time.Duration // when the director's accept returned it
+	connectedAt time.Duration // the earliest time at which it may have been established
 
 	// The next three fields belong to the reader's goroutine.
-	pending      []*request    // requests that were read and are started once nothing more lies unread
+	pending      []*request    // requests that were read; they are started once no more bytes are unread
 	pendingSince time.Duration // when the first pending request was read
-	rejecting    bool          // every request that is still read is rejected
+	rejecting    bool          // all further requests are rejected
 
 	mu                 sync.Mutex          // guards the fields up to closed
 	open               map[uint32]*request // by message id, until the answer is written
 	shortAnswers       [][]byte            // queued for writeShortAnswers
 	shortAnswersTaken  chan struct{}       // signalled each time writeShortAnswers has emptied the queue
-	shortWriterRunning bool                // writeShortAnswers runs
+	shortWriterRunning bool                // writeShortAnswers is running
 	hasSentMessage     bool                // a complete message has arrived
-	lastActivity       time.Duration       // when it connected, or the last message arrived or was answered
-	midMessage         bool                // a message has arrived in part
+	lastActivity       time.Duration       // when it connected, the last message arrived, or the last answer was written
+	midMessage         bool                // a message has arrived only in part
 	closeMode          closeMode
-	readClosed         bool // no more messages are taken
+	readClosed         bool // no more messages are accepted
 	writeClosed        bool // no more answers are written: the client sees the end of the stream
-	closed             bool // closed for good, by markClosed
+	closed             bool // set by markClosed
 
-	writing      sync.Mutex   // held while answers are written; mu may be locked under it, not the other way round
+	writing      sync.Mutex   // held while answers are written; mu may be locked while it is held, but not the other way round
 	bodyBytes    atomic.Int64 // bytes of bodies that its requests hold
-	everServed   atomic.Bool  // a request of this client had a success
-	emptyAt      atomic.Int64 // a time.Duration: the last time at which nothing was seen to lie unread
-	behind       atomic.Bool  // the reader has bytes that it has not handled; false if that cannot be known
-	uselessInRow atomic.Int32 // messages since the last success that were useless or over a bound
+	everServed   atomic.Bool  // a request of this client has succeeded
+	emptyAt      atomic.Int64 // a time.Duration: the last time at which no bytes were found unread
+	unhandled    atomic.Bool  // the reader may have read bytes that it has not handled; always false if there is no socket
+	uselessInRow atomic.Int32 // number of messages since the last success that were invalid or over a bound
 }
 
-// closeMode tells when a connection ends. It only rises, in raiseCloseMode.
+// closeMode is the condition under which a connection is closed. It only increases, in raiseCloseMode.
 type closeMode uint8
 
 const (
 	staysOpen          closeMode = iota
-	closesWhenIdle               // once nothing is open on it and nothing lies unread
-	closesAfterAnswers           // at the director's end: once what was read is answered
+	closesWhenIdle               // once no request is open on it and no bytes are unread
+	closesAfterAnswers           // at shutdown: once all requests that were read are answered
 )
 
 // newClientConn returns the clientConn of a connection that was just accepted.
@@ -82,7 +83,7 @@
 		lastActivity:      director.clock.now(),
 	}
 	c.acceptedAt = c.lastActivity
-	c.waitedSince(director.clock.arrivalTime())
+	c.setConnectedAt(director.clock.arrivalTime())
 	return c
 }
 
--- a/internal/director/client_conn_test.go
+++ b/internal/director/client_conn_test.go
@@ -12,23 +12,23 @@
 	"indigochute.example/indigochute/internal/msgpack"
 )
 
-// A client's cancellation is passed on to the node, and an answer that comes after it is ignored.
+// A client's cancellation must be forwarded to the node, and an answer that arrives after it must be ignored.
 func TestClientCancels(t *testing.T) {
 	w := start(t, 1)
 	id := w.sendRequest("page", 5000, "")
 	command := w.nextCommand("GET")
 	w.write("\x93\x02" + packText("cancelRequest") + "\x91" + string(rune(id)))
 	if drop := w.nextCommand("DROP"); drop.id != command.id {
-		t.Errorf("dropped %q", drop.id)
+		t.Errorf("node received a cancellation of %q, want one of its request", drop.id)
 	}
-	command.reply(t, "HIT", "-", "nobody waits")
-	w.expectServed("page", "", "-", "here")
+	command.reply(t, "HIT", "-", "after the cancellation")
+	w.expectServed("page", "", "-", "to the next request")
 }
 
-// If a client leaves before the first order for its request is carried out, the attempt must end all the same. Otherwise
-// routing would count it as in flight for ever, and in the end reject everything. Nothing is sent to a node. If the client
-// leaves before routing has the request, there is no attempt.
-func TestClientLeavesBeforeTheOrderIsFollowed(t *testing.T) {
+// If a client leaves before the first order for its request is carried out, the attempt must still end. Otherwise routing would
+// count it as in flight for ever, and finally reject all requests. Nothing may be sent to a node. If the client leaves before the
+// request is registered at routing, there must be no attempt.
+func TestClientLeavesBeforeFirstAttempt(t *testing.T) {
 	w := start(t, 1)
 	c := newClientConn(w.director, nil)
 	for i := range 64 {
@@ -47,7 +47,7 @@
 			r.serve()
 			close(ended)
 		}()
-		for w.director.bodyBytes.Load() == 0 { // until it is about to be registered
+		for w.director.bodyBytes.Load() == 0 { // until the request is about to be registered
 			time.Sleep(10 * time.Microsecond)
 		}
 		r.markClientGone()
@@ -64,17 +64,17 @@
 	}
 }
 
-// A message that cannot be read ends its own connection only. An answer that nobody asked for ends none.
-func TestUnreadableMessages(t *testing.T) {
+// An unreadable message must end only its own connection. An unsolicited answer must not end a connection.
+func TestUnreadableMessagesAndUnsolicitedAnswers(t *testing.T) {
 	w := start(t, 2)
 	other := dial(t, w.conn.RemoteAddr().String())
 	other.Write([]byte("\x94\x00\x01\xdb\xff\xff\xff\xff"))
 	if answer, err := io.ReadAll(other); err != nil || !strings.Contains(string(answer), "Fault") {
-		t.Errorf("got answer %q, then %v; want a Fault, then the end", answer, err)
+		t.Errorf("got answer %q, then %v; want Fault, then EOF", answer, err)
 	}
 	id := w.sendRequest("nothing of ours", 5000, "")
 	if gotID, word, _ := w.readAnswer(); gotID != id || word != "Fault" {
-		t.Errorf("%d %q", gotID, word)
+		t.Errorf("got answer to %d, %q; want Fault to the invalid request", gotID, word)
 	}
 	id = w.sendRequest("page", 5000, "")
 	firstCommand := w.nextCommand("GET")
@@ -83,11 +83,11 @@
 	w.expectAnswer(id, "", "to this one")
 	firstCommand.reply(t, "HIT", "-", "a second copy")
 	if secondCommand := w.expectServed("page", "", "-", "next"); secondCommand.conn != firstCommand.conn {
-		t.Error("answers that nobody asked for cost the connection")
+		t.Error("unsolicited answers ended the connection, want it to be used again")
 	}
 }
 
-// Requests that no node could serve are answered with an error, and no node receives them.
+// Invalid requests must be answered with an error and not be forwarded to a node.
 func TestInvalidRequests(t *testing.T) {
 	w := start(t, 1)
 	open := w.sendRequest("page", 5000, "")
@@ -119,13 +119,13 @@
 			t.Errorf("%s: got answer to %d, %q %s; want one to %d, Fault", name, gotID, word, reason, id)
 		}
 	}
-	command.reply(t, "HIT", "-", "the first of the two")
-	w.expectAnswer(open, "", "the first of the two")
-	w.expectServed("page", "", "-", "fit again")
+	command.reply(t, "HIT", "-", "to the open request")
+	w.expectAnswer(open, "", "to the open request")
+	w.expectServed("page", "", "-", "to the next request")
 }
 
-// Of hundreds of requests at once, most are rejected with a Retry-After and the rest is forwarded.
-func TestHundredsAtOnce(t *testing.T) {
+// Of hundreds of requests that one client sends at the same time, most must be rejected with a Retry-After and the rest forwarded.
+func TestHundredsOfConcurrentRequests(t *testing.T) {
 	w := start(t, 1)
 	const all = 300
 	for range all {
@@ -144,54 +144,54 @@
 			}
 			w.conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if _, word, rest := w.readAnswer(); word != "Shed" || !strings.HasPrefix(rest, "w ") {
-				t.Fatalf("%q %q", word, rest)
+				t.Fatalf("got answer %q %q, want Shed with a Retry-After", word, rest)
 			}
 			rejected++
 		}
 	}
 	if len(received) > maxGoroutinesPerClient {
-		t.Errorf("%d requests of one client at nodes", len(received))
+		t.Errorf("%d requests of one client were forwarded, want at most maxGoroutinesPerClient", len(received))
 	}
 }
 
-// Clients that sent one request and stay, or send nothing, make room for new ones. A client with an open request does not.
-func TestSilentClientsMakeRoom(t *testing.T) {
+// Clients that send nothing, or only one request, must be evicted for new ones. A client with an open request must not.
+func TestSilentClientsEvicted(t *testing.T) {
 	w := start(t, 1)
 	first := w.sendRequest("page", 5000, "")
 	command := w.nextCommand("GET")
 	addr, open := w.conn.RemoteAddr().String(), w.conn
-	var stayed []net.Conn
+	var silent []net.Conn
 	for i := range 2 * w.director.bounds.clientSockets {
 		w.conn = dial(t, addr)
-		stayed = append(stayed, w.conn)
+		silent = append(silent, w.conn)
 		if i%2 == 0 {
 			w.reader = bufio.NewReader(w.conn)
 			w.expectServed("log", "", "-", "once")
 		}
 	}
 	if n := w.director.clients.each(func(*clientConn) {}); n > w.director.bounds.clientSockets {
-		t.Errorf("%d connections are held", n)
+		t.Errorf("got %d connections, want at most the bound", n)
 	}
-	if _, err := stayed[0].Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the one silent for longest: %v", err)
+	if _, err := silent[0].Read(make([]byte, 1)); err != io.EOF {
+		t.Errorf("client that was silent for longest: got %v, want EOF", err)
 	}
 	w.reader = bufio.NewReader(open)
-	command.reply(t, "HIT", "-", "still here")
-	w.expectAnswer(first, "", "still here")
+	command.reply(t, "HIT", "-", "to the open request")
+	w.expectAnswer(first, "", "to the open request")
 }
 
-// A connection on which a request lies unread does not make room: a director that was stalled must not close over it.
-func TestUnreadRequestsKeepTheirPlace(t *testing.T) {
+// A connection with an unread request must not be evicted, since a director that was stalled has not read requests that arrived.
+func TestClientWithUnreadRequestNotEvicted(t *testing.T) {
 	w := start(t, 1)
 	listener := listen(t)
 	accept := func(write string) *clientConn {
 		conn := dial(t, listener.Addr().String())
-		here, err := listener.Accept()
+		directorConn, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(conn, write)
-		return newClientConn(w.director, here)
+		return newClientConn(w.director, directorConn)
 	}
 	s := &clientSet{max: 2, active: map[*clientConn]bool{}}
 	unread, silent, next := accept("a req"), accept(""), accept("")
@@ -200,47 +200,48 @@
 	}
 	for i, c := range []*clientConn{unread, silent, next} {
 		if !s.admit(c, time.Duration(i)*time.Hour) {
-			t.Fatal("not admitted")
+			t.Fatal("connection was not admitted")
 		}
 	}
 	if !s.active[unread] || s.active[silent] {
-		t.Error("the one with a request unread made room")
+		t.Error("the client with an unread request was evicted, want the silent one evicted")
 	}
 	next.mu.Lock()
 	next.open[1] = &request{}
 	next.mu.Unlock()
 	if s.admit(accept(""), 9*time.Hour) {
-		t.Error("admitted where nobody can make room")
+		t.Error("connection was admitted although no other can be evicted")
 	}
 }
 
-// A connection that sends nothing, or never completes its first message, is closed within the time that clients are granted.
+// A connection on which the client sends nothing, or does not complete its first message, must be closed after
+// firstMessageTimeout.
 func TestIncompleteFirstMessage(t *testing.T) {
 	w := start(t, 1)
-	mute, half := dial(t, w.conn.RemoteAddr().String()), dial(t, w.conn.RemoteAddr().String())
-	io.WriteString(half, "\x94\x00\x07\xa4page\x92")
-	for _, conn := range []net.Conn{mute, half} {
+	silent, partial := dial(t, w.conn.RemoteAddr().String()), dial(t, w.conn.RemoteAddr().String())
+	io.WriteString(partial, "\x94\x00\x07\xa4page\x92")
+	for _, conn := range []net.Conn{silent, partial} {
 		if _, err := io.ReadAll(conn); err != nil {
 			t.Error(err)
 		}
 	}
 }
 
-// A client that does not read delays no other client, and receives its complete answer once it reads.
+// A client that does not read must not delay other clients, and must receive its complete answer once it reads.
 func TestSlowReader(t *testing.T) {
 	w := start(t, 1)
-	here, there := net.Pipe() // takes nothing that is not read
-	go newClientConn(w.director, here).read()
-	quick := w.conn
-	w.conn = there
+	directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
+	go newClientConn(w.director, directorConn).read()
+	readingConn := w.conn
+	w.conn = peerConn
 	first := w.sendRequest("log", 8000, "", "k", "7")
 	big := strings.Repeat("x", 240000)
 	w.nextCommand("GET").reply(t, "HIT", "-", big)
-	w.conn = quick
+	w.conn = readingConn
 	second := w.sendRequest("log", 8000, "", "k", "7")
 	w.nextCommand("GET").reply(t, "HIT", "-", "y")
 	w.expectAnswer(second, "", "y")
-	w.reader = bufio.NewReader(there)
+	w.reader = bufio.NewReader(peerConn)
 	w.expectAnswer(first, "", big)
-	there.Close()
+	peerConn.Close()
 }
--- a/internal/director/client_reader.go
+++ b/internal/director/client_reader.go
@@ -9,40 +9,40 @@
 	"indigochute.example/indigochute/internal/msgpack"
 )
 
-// Reading a client's connection: one message after the other, until it ends.
+// This file reads the messages of a client's connection until it ends.
 
 const (
 	clientReadBuffer = 4 << 10 // bytes
-	// The limits on useless messages guard against a client that writes them at full speed, which costs the director more
-	// than the client. The first uselessFree useless messages in a row are free. After each further one the reader pauses for
-	// uselessPause. More than maxUselessInRow end the connection. Everything that a client within its bounds may have written
-	// is still read within 0.1 s.
-	uselessFree     = 4
-	uselessPause    = time.Millisecond
-	maxUselessInRow = 400
+	// Useless messages are those that are invalid or over a bound. A client that writes them at full speed costs the director
+	// more than itself, so they are limited. The first freeUselessMessages in a row cause no delay. After each further one the
+	// reader pauses for uselessPause. More than maxUselessInRow in a row end the connection. All messages that a client within
+	// its bounds may have written are still read within 0.1 s.
+	freeUselessMessages = 4
+	uselessPause        = time.Millisecond
+	maxUselessInRow     = 400
 )
 
 var (
-	errDuplicateMessageID  = errors.New("a message id is used again while it is open")
-	errOnlyUselessMessages = errors.New("nothing but messages of no use")
+	errDuplicateMessageID  = errors.New("the message id is in use by another open request")
+	errOnlyUselessMessages = errors.New("too many invalid or rejected messages in a row")
 )
 
-// read reads the connection's messages until it ends. It waits for nothing but messages, so that it sees a cancellation or
-// the end of the stream at once. Requests that arrived during a stall of the process are started only after everything that
-// arrived with them is read, since the client may have left meanwhile.
+// read reads the connection's messages until it ends. It waits only for messages, so that it detects a cancellation or the end
+// of the stream immediately. Requests that arrived during a stall of the process are started only after everything that
+// arrived with them was read, since the client may have left during the stall.
 func (c *clientConn) read() {
 	socket := newDrainingReader(c)
 	buffered := bufio.NewReaderSize(socket, clientReadBuffer)
 	messages := msgpack.NewReader(buffered)
 	ending, err := c.readMessages(buffered, messages)
 	if errors.Is(err, errDuplicateMessageID) || errors.Is(err, errOnlyUselessMessages) {
-		ending, err = c.rejectRest(buffered, messages, err)
+		ending, err = c.rejectRemaining(buffered, messages, err)
 	}
 	c.shutDown(socket, ending, err)
 	c.startPending() // the client has left: these requests end without an attempt
 }
 
-// readMessages reads and handles messages until the connection is to end, and returns why.
+// readMessages reads and handles messages until the connection must end, and returns how and why it ends.
 func (c *clientConn) readMessages(buffered *bufio.Reader, messages *msgpack.Reader) (Ending, error) {
 	for c.awaitMessage(buffered) {
 		err := c.readMessage(messages)
@@ -57,7 +57,7 @@
 	return Stopped, nil
 }
 
-// readMessage reads and handles one message. It answers an unreadable message with the error if its id could be read.
+// readMessage reads and handles one message. If the message is invalid but its id could be read, it answers with the error.
 func (c *clientConn) readMessage(messages *msgpack.Reader) error {
 	message, err := messages.Read()
 	if err == nil {
@@ -72,7 +72,7 @@
 // pauseIfUseless slows down a client after several useless messages in a row. It returns an error after too many.
 func (c *clientConn) pauseIfUseless() error {
 	useless := c.uselessInRow.Load()
-	if useless <= uselessFree || c.director.rejecting.Load() {
+	if useless <= freeUselessMessages || c.director.rejecting.Load() {
 		return nil
 	}
 	time.Sleep(uselessPause)
@@ -82,9 +82,9 @@
 	return nil
 }
 
-// awaitMessage waits for the first byte of a message, or for the end of the stream, which the next read meets again. It
-// returns false once no more messages are taken: the client has been silent for too long or the connection is ending, and
-// nothing is open on it or lies unread.
+// awaitMessage waits for the first byte of a message or for the end of the stream, which the next read returns again. It
+// returns false once no more messages are accepted: the client has been silent for too long or the connection is closing, and
+// it has no open requests and no unread bytes.
 func (c *clientConn) awaitMessage(buffered *bufio.Reader) bool {
 	for {
 		if !c.beginWait(buffered.Buffered() > 0) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// beginWait sets the deadline by which the next message must begin. It returns false, and closes the connection for reading,
-// if there is nothing to wait for.
+// beginWait sets the read deadline for the first byte of the next message. If no more messages are accepted, it records that
+// and returns false.
 func (c *clientConn) beginWait(midMessage bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +113,7 @@
 	return true
 }
 
-// messageWait returns how long to wait for a message before the next check. ok is false if no message is taken any more.
+// messageWait returns how long to wait for a message before the next check. ok is false if no more messages are accepted.
 // Called under mu.
 func (c *clientConn) messageWait() (wait time.Duration, ok bool) {
 	limit := clientIdleTimeout
@@ -130,7 +130,7 @@
 		return 0, false
 	case !idle:
 		return clientIdleTimeout, true
-	case mayEnd: // but bytes lie unread, or a message has arrived in part
+	case mayEnd: // but bytes are unread, or a message has arrived in part
 		return messageTimeout, true
 	}
 	return left, true
@@ -144,9 +144,10 @@
 	c.socket.SetReadDeadline(time.Now().Add(messageTimeout))
 }
 
-// rejectRest prepares the end of a connection after a fault of its client. It rejects the requests that the client may have
-// written before it learns of the end, as many as a client may have open. It returns why reading ended.
-func (c *clientConn) rejectRest(buffered *bufio.Reader, messages *msgpack.Reader, cause error) (Ending, error) {
+// rejectRemaining prepares closing a connection after a protocol violation by its client. It rejects the requests that the
+// client may have written before it sees the end of the stream, at most as many as a client may have open. It returns how and
+// why reading ended.
+func (c *clientConn) rejectRemaining(buffered *bufio.Reader, messages *msgpack.Reader, cause error) (Ending, error) {
 	c.startPending()
 	c.closeRead()
 	c.rejecting = true
@@ -168,7 +169,7 @@
 		if err != nil {
 			return endingOf(err), err
 		}
-		c.handleMessage(message) // its error does not matter: the request under a duplicate id is already being answered
+		c.handleMessage(message) // the error is ignored: the open request that has a duplicate id is answered anyway
 		time.Sleep(uselessPause)
 		read++
 	}
--- a/internal/director/client_requests.go
+++ b/internal/director/client_requests.go
@@ -6,8 +6,8 @@
 	"indigochute.example/indigochute/internal/msgpack"
 )
 
-// The requests of one connection: from reading the message until the request's goroutine runs, and the register of open
-// requests.
+// This file handles the messages of one connection until the goroutines of its requests are started, and keeps the set of its
+// open requests.
 
 // handleMessage handles one message. It returns an error if the connection must end.
 func (c *clientConn) handleMessage(message msgpack.Message) error {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// cancelRequest tells a request that its client no longer waits for it.
+// cancelRequest notifies a request that its client no longer waits for it.
 func (c *clientConn) cancelRequest(messageID uint32) {
 	c.mu.Lock()
 	r := c.open[messageID]
@@ -75,7 +75,7 @@
 	c.pending = c.pending[:0]
 }
 
-// register adds a request to the open ones, and returns how many are open now. It returns errDuplicateMessageID if the
+// register adds a request to the open requests and returns how many are open now. It returns errDuplicateMessageID if the
 // message id is in use, as two answers under one id would be ambiguous, and net.ErrClosed if no more answers are written.
 func (c *clientConn) register(r *request) (open int, err error) {
 	c.mu.Lock()
@@ -90,7 +90,7 @@
 	return len(c.open), nil
 }
 
-// release removes an answered request from the open ones. Later calls do nothing.
+// release removes an answered request from the open requests. Later calls do nothing.
 func (c *clientConn) release(r *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/director/client_set.go
+++ b/internal/director/client_set.go
@@ -8,66 +8,66 @@
 	"time"
 )
 
-// The set of all client connections, with a bounded number of places, and the choice of the one that makes room for a new one.
+// This file has the bounded set of client connections, and selects the connection that is evicted for a new one.
 
 const (
-	// silentBeforeEviction is how long a client may be silent after connecting before it is the first to make room. A client
-	// that connects and sends a request has been read by then.
+	// silentBeforeEviction is how long after connecting a client that has sent nothing becomes a preferred candidate for
+	// eviction. The request of a client that sends one right after connecting has been read by then.
 	silentBeforeEviction = 100 * time.Millisecond
-	// closingPlacesDivisor is the divisor of all places that gives those for connections that are ending, which takes a
-	// moment.
+	// closingPlacesDivisor determines the share of all places, 1/closingPlacesDivisor, that is reserved for evicted connections
+	// that are still closing.
 	closingPlacesDivisor = 8
-	placeWait            = 20 * time.Millisecond // longest wait of a new connection for one of these places
-	placePoll            = time.Millisecond      // between two checks for such a place
+	placeWait            = 20 * time.Millisecond // longest wait of a new connection for one of the reserved places
+	placePoll            = time.Millisecond      // interval of the checks for such a place
 )
 
-// clientSet holds the client connections. It guards against clients that open hundreds of connections and send nothing, or
-// send one request and stay: they take no place from others. A goroutine that holds its mutex may lock that of a clientConn,
-// but not the other way round.
+// clientSet holds the client connections. Eviction keeps clients that open hundreds of connections and send nothing, or only
+// one request, from taking the places of others. A goroutine that holds the set's mutex may lock that of a clientConn, but not
+// the other way round.
 type clientSet struct {
-	max int // connections that are not closing
+	max int // bound on active connections
 
 	mu      sync.Mutex
 	active  map[*clientConn]bool // all but those in closing
-	closing []*clientConn        // connections that made room and are ending, the earliest first
+	closing []*clientConn        // evicted connections that are still closing, the earliest first
 }
 
-// newClientSet returns a set with the given number of places, those for ending connections included.
+// newClientSet returns a set with the given number of places, including those for closing connections.
 func newClientSet(places int) clientSet {
 	return clientSet{max: max(1, places-places/closingPlacesDivisor), active: map[*clientConn]bool{}}
 }
 
-// awaitPlace waits while the set is full, until the client of an ending connection has seen the end of its stream. It waits
-// for placeWait at most, as nothing may hold up accepting. It guards against closing a new connection unread only because the
-// readers of the ending connections have not run yet, as on a busy machine.
+// awaitPlace waits while the set is full, until the writing side of a closing connection is closed. It waits for placeWait at
+// most, since accepting must not be blocked. On a busy machine, the readers of the closing connections may not have run yet;
+// without the wait, a new connection would be closed unread only because of that.
 func (s *clientSet) awaitPlace() {
 	for waited := time.Duration(0); waited < placeWait && s.isFull(); waited += placePoll {
 		time.Sleep(placePoll)
 	}
 }
 
-// isFull returns whether a new connection finds all places taken, and no ending connection whose client has seen the end of
-// the stream.
+// isFull returns whether all places are taken and there is no closing connection whose writing side is closed.
 func (s *clientSet) isFull() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.active) >= s.max && s.closingFull() && s.firstWriteClosed() < 0
 }
 
-// closingFull returns whether the places for ending connections are taken. Called under mu.
+// closingFull returns whether the places for closing connections are taken. Called under mu.
 func (s *clientSet) closingFull() bool {
 	return len(s.closing) >= max(1, s.max/(closingPlacesDivisor-1))
 }
 
-// firstWriteClosed returns the index in closing of the first connection whose client sees the end of the stream, or -1 if
-// there is none. What such a client has written since, it sends again elsewhere. Called under mu.
+// firstWriteClosed returns the index in closing of the first connection whose writing side is closed, or -1 if there is none.
+// The client of such a connection sees the end of the stream and sends elsewhere again what it has written since. Called
+// under mu.
 func (s *clientSet) firstWriteClosed() int {
 	return slices.IndexFunc(s.closing, (*clientConn).isWriteClosed)
 }
 
-// admit gives a connection a place. If all are taken, a connection with nothing open or unread makes room: preferably one
-// that never sent anything, else the one silent for longest. If there is no such connection, or no place among the ending
-// ones, admit closes the new connection before anything of it is read, and returns false.
+// admit adds a connection. If all places are taken, it evicts a connection that has no open request and no unread bytes:
+// preferably one that never sent a message, otherwise the one that has been silent for longest. If there is no such connection,
+// or no place for another closing connection, admit closes the new connection before it is read, and returns false.
 func (s *clientSet) admit(c *clientConn, now time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,7 +78,7 @@
 	evicted, closingFull, writeClosed := s.chooseEvicted(now, c), s.closingFull(), s.firstWriteClosed()
 	if evicted == c || closingFull && writeClosed < 0 {
 		delete(s.active, c)
-		go c.close(Stopped, nil) // in a goroutine, as closing may wait
+		go c.close(Stopped, nil) // in a goroutine, since close may block
 		return false
 	}
 	if closingFull {
@@ -91,14 +91,15 @@
 	return true
 }
 
-// evictable is an idle connection that may make room for a new one.
+// evictable is an idle connection that may be evicted for a new one.
 type evictable struct {
 	conn       *clientConn
 	lastActive time.Duration
-	neverSent  bool // it sent no message within silentBeforeEviction of connecting
+	neverSent  bool // it has sent no message in more than silentBeforeEviction since connecting
 }
 
-// chooseEvicted returns the connection that makes room for the newest one, or the newest one if none can. Called under mu.
+// chooseEvicted returns the connection to evict for the newest one, or the newest one itself if no other can be evicted.
+// Called under mu.
 func (s *clientSet) chooseEvicted(now time.Duration, newest *clientConn) *clientConn {
 	var candidates []evictable
 	for conn := range s.active {
@@ -109,14 +110,14 @@
 	}
 	slices.SortFunc(candidates, compareEvictable)
 	for _, candidate := range candidates {
-		if !candidate.conn.hasUnread() { // a request may lie unread after a stall of the process
+		if !candidate.conn.hasUnread() { // after a stall of the process, a request may still be unread
 			return candidate.conn
 		}
 	}
 	return newest
 }
 
-// compareEvictable orders connections that never sent anything before all others, then those silent for longest first.
+// compareEvictable orders connections that never sent a message before all others, then by the time of their last activity.
 func compareEvictable(a, b evictable) int {
 	if a.neverSent != b.neverSent {
 		if a.neverSent {
--- a/internal/director/clock_test.go
+++ b/internal/director/clock_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// After a stall of the process, timers wait until what arrived meanwhile is read. What is read then counts as arrived at the
-// earliest possible time.
-func TestArrivalTimeAfterAStall(t *testing.T) {
+// After a stall of the process, timers must wait until bytes that arrived during the stall are read, and these bytes must count
+// as arrived at the earliest possible time.
+func TestArrivalTimeAfterStall(t *testing.T) {
 	c := newClock()
 	c.start = c.start.Add(-time.Hour)
 	if at := c.arrivalTime(); at != 0 {
--- a/internal/director/deadline_test.go
+++ b/internal/director/deadline_test.go
@@ -18,21 +18,22 @@
 	"time"
 )
 
-// The timeout that a node is given (`w`) is at most the time that the client has left when the bytes leave, with some slack.
+// These tests check that the timeout in a request to a node (`w`) is at most the time that the client has left when the bytes are
+// written, with some slack.
 
-// timeoutSlack is half of the slack that the protocol grants.
+// timeoutSlack is half of the slack that the protocol allows.
 const timeoutSlack = 75 * time.Millisecond
 
-// checkTimeout checks the timeout that a node was given. It must be called just after the request arrived there.
+// checkTimeout checks the timeout in a command. It must be called just after the command arrived at the node.
 func (c nodeCommand) checkTimeout(t *testing.T, deadline time.Time) {
 	t.Helper()
 	left := time.Until(deadline)
 	if timeout := c.timeout(t); timeout <= 0 || timeout > left+timeoutSlack {
-		t.Errorf("a node is given %v while the client has %v left", timeout, left)
+		t.Errorf("got timeout %v, want at most %v, the time that the client has left, plus slack", timeout, left)
 	}
 }
 
-// timeout returns the timeout that a node was given.
+// timeout returns the timeout in a command.
 func (c nodeCommand) timeout(t testing.TB) time.Duration {
 	t.Helper()
 	for field := range strings.SplitSeq(c.fields, ",") {
@@ -44,14 +45,14 @@
 			return time.Duration(milliseconds) * time.Millisecond
 		}
 	}
-	t.Fatalf("fields %q have no timeout", c.fields)
+	t.Fatalf("got fields %q, want a timeout in them", c.fields)
 	return 0
 }
 
 // slowNetwork delays dials to nodes.
 type slowNetwork struct {
 	systemNetwork
-	journal string // its dials are not delayed
+	journal string // address of the journal service, dials to which are not delayed
 	delay   time.Duration
 }
 
@@ -62,10 +63,10 @@
 	return n.systemNetwork.DialContext(ctx, network, address)
 }
 
-// The timeout counts from when the bytes leave, also over a connection that comes up late: for a first attempt, and for the
-// one after a rejection.
-func TestTimeoutAfterALateConnection(t *testing.T) {
-	w := startWith(t, 2, nil, func(w *world) {
+// The timeout must count from the write, also over a connection whose dial is slow: in a first attempt, and in the one after a
+// rejection.
+func TestTimeoutAfterSlowDial(t *testing.T) {
+	w := startWith(t, 2, nil, func(w *harness) {
 		w.director.UseNetwork(&slowNetwork{journal: w.journal.Addr().String(), delay: 270 * time.Millisecond})
 	})
 	const timeout = 2 * time.Second
@@ -80,14 +81,14 @@
 	w.expectAnswer(id, "", "")
 }
 
-// fullNetwork is a Network with a single connection to a node. It comes up with full buffers, so that nothing more can be
-// written until the node reads.
+// fullNetwork is a Network with a single connection to a node. The connection is established with full buffers, so that nothing
+// more can be written until the node reads.
 type fullNetwork struct {
 	systemNetwork
-	journal string // its dials are left alone
-	here    chan net.Conn
-	there   net.Conn // the node's side
-	junk    int      // bytes that lie in the buffers
+	journal      string // address of the journal service, which is dialled as usual
+	directorConn chan net.Conn
+	peerConn     net.Conn // the node's end
+	junk         int      // number of bytes in the buffers
 }
 
 func (n *fullNetwork) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
@@ -95,54 +96,55 @@
 		return n.systemNetwork.DialContext(ctx, network, address)
 	}
 	select {
-	case conn := <-n.here:
+	case conn := <-n.directorConn:
 		return conn, nil
 	default:
-		return nil, errors.New("no other connection")
+		return nil, errors.New("no more than one connection can be dialled")
 	}
 }
 
 const (
 	fullBuffer = 64 << 10               // bytes of each side's buffer
-	fullQuiet  = 100 * time.Millisecond // without a byte taken: more than the system delays what opens a window
+	fullQuiet  = 100 * time.Millisecond // without progress the buffers count as full; longer than window updates are delayed
 )
 
 // fill makes the connection and fills its buffers.
 func (n *fullNetwork) fill(t *testing.T) {
 	listener := listen(t)
-	here := dial(t, listener.Addr().String())
-	there, err := listener.Accept()
+	directorConn := dial(t, listener.Addr().String())
+	peerConn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { there.Close() })
-	here.(*net.TCPConn).SetWriteBuffer(fullBuffer) // fixed sizes: else buffers grow while they are filled
-	there.(*net.TCPConn).SetReadBuffer(fullBuffer)
+	t.Cleanup(func() { peerConn.Close() })
+	directorConn.(*net.TCPConn).SetWriteBuffer(fullBuffer) // fixed sizes, since the buffers would otherwise grow while they are filled
+	peerConn.(*net.TCPConn).SetReadBuffer(fullBuffer)
 	for quiet := false; !quiet; {
-		here.SetWriteDeadline(time.Now().Add(fullQuiet))
-		written, err := here.Write(make([]byte, 64<<10))
+		directorConn.SetWriteDeadline(time.Now().Add(fullQuiet))
+		written, err := directorConn.Write(make([]byte, 64<<10))
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Fatal(err)
 		}
 		n.junk += written
 		quiet = written == 0
 	}
-	n.here, n.there = make(chan net.Conn, 1), there
-	n.here <- here
+	n.directorConn, n.peerConn = make(chan net.Conn, 1), peerConn
+	n.directorConn <- directorConn
 }
 
-// startFull starts a world in which the connection to the node comes up full and carries all requests.
-func startFull(t *testing.T) (*world, *fullNetwork) {
+// startFull starts a harness in which the connection to the node is established with full buffers and carries all requests.
+func startFull(t *testing.T) (*harness, *fullNetwork) {
 	n := &fullNetwork{}
 	n.fill(t)
-	return startWith(t, 1, nil, func(w *world) {
+	return startWith(t, 1, nil, func(w *harness) {
 		n.journal = w.journal.Addr().String()
 		w.director.UseNetwork(n)
 		w.director.pool.socketsLeft, w.director.pool.socketsReserved = 1, 1
 	}), n
 }
 
-// tryUntilInTime tries again, up to ten times, what returns false if the machine was too busy to do it in time.
+// tryUntilInTime calls try up to ten times until it returns true. try returns false if the machine was too busy to meet its time
+// limit.
 func tryUntilInTime(t *testing.T, try func() bool) {
 	t.Helper()
 	for range 10 {
@@ -150,11 +152,11 @@
 			return
 		}
 	}
-	t.Error("no attempt left in time")
+	t.Error("none of ten tries was in time")
 }
 
-// awaitQueued waits until so many messages are queued for the node.
-func (w *world) awaitQueued(messages int) {
+// awaitQueued waits until the given number of messages is queued for the node.
+func (w *harness) awaitQueued(messages int) {
 	w.t.Helper()
 	w.waitUntil(fmt.Sprintf("%d queued", messages), func() bool {
 		w.director.pool.mu.Lock()
@@ -164,21 +166,21 @@
 	})
 }
 
-// The timeout counts from when the bytes leave, also for two requests behind a send buffer that is full for a while.
-func TestTimeoutBehindAFullSendBuffer(t *testing.T) {
+// The timeout must count from the write, also for two requests that wait while the send buffer is full.
+func TestTimeoutWithFullSendBuffer(t *testing.T) {
 	tryUntilInTime(t, func() bool {
 		w, n := startFull(t)
 		const timeout = time.Second
 		deadline := time.Now().Add(timeout)
 		w.sendRequest("page", int(timeout.Milliseconds()), "")
 		w.sendRequest("page", int(timeout.Milliseconds()), "")
-		time.Sleep(110 * time.Millisecond) // what the node leaves lying
-		in := bufio.NewReader(n.there)
+		time.Sleep(110 * time.Millisecond) // during which the node reads nothing
+		in := bufio.NewReader(n.peerConn)
 		if _, err := io.CopyN(io.Discard, in, int64(n.junk)); err != nil {
 			t.Fatal(err)
 		}
 		for range 2 {
-			n.there.SetReadDeadline(time.Now().Add(testTimeout))
+			n.peerConn.SetReadDeadline(time.Now().Add(testTimeout))
 			command, err := readNodeCommand(in)
 			if err != nil || command.word != "GET" {
 				return false
@@ -189,9 +191,10 @@
 	})
 }
 
-// pause stops this process, lets a shell run commands meanwhile, and returns once the process runs again. The files are passed
-// to the shell from descriptor 3 on and closed here. The shell waits for a moment after the stop, as a running thread stops
-// some moments later. The shell makes the sockets blocking: use nonblocking for those that are still open here.
+// pause stops this process while a shell runs commands, and returns once the process runs again. The files are passed to the
+// shell from descriptor 3 on and closed in this process. The shell waits for a moment after the stop, since threads that are
+// running stop slightly later. The shell makes the sockets blocking: call nonblocking for those that are still open in this
+// process.
 func pause(t *testing.T, forSeconds float64, commands string, files ...*os.File) {
 	t.Helper()
 	script := fmt.Sprintf("read go; kill -STOP $PPID; sleep 0.02; %s; sleep %g; kill -CONT $PPID", commands, forSeconds)
@@ -215,7 +218,7 @@
 	}
 }
 
-// nonblocking makes a socket usable in this process again after another process used it.
+// nonblocking makes a socket nonblocking again after a shell has used it, so that this process can use it.
 func nonblocking(t *testing.T, conn net.Conn) {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -239,19 +242,19 @@
 	return f
 }
 
-// The timeout counts from when the bytes leave, also if the process is paused while a message waits for the socket, which
-// takes bytes again meanwhile.
-func TestTimeoutAfterAPause(t *testing.T) {
+// The timeout must count from the write, also if the process is paused while a message waits for the socket, and the socket
+// becomes writable during the pause.
+func TestTimeoutAfterProcessPause(t *testing.T) {
 	tryUntilInTime(t, func() bool {
 		w, n := startFull(t)
 		const timeout = time.Second
 		deadline := time.Now().Add(timeout)
 		w.sendRequest("page", int(timeout.Milliseconds()), "")
 		w.awaitQueued(1)
-		pause(t, 0.08, fmt.Sprintf("head -c %d <&3 >/dev/null", n.junk), file(t, n.there))
-		nonblocking(t, n.there)
-		n.there.SetReadDeadline(time.Now().Add(testTimeout))
-		command, err := readNodeCommand(bufio.NewReader(n.there))
+		pause(t, 0.08, fmt.Sprintf("head -c %d <&3 >/dev/null", n.junk), file(t, n.peerConn))
+		nonblocking(t, n.peerConn)
+		n.peerConn.SetReadDeadline(time.Now().Add(testTimeout))
+		command, err := readNodeCommand(bufio.NewReader(n.peerConn))
 		if err != nil || command.word != "GET" {
 			return false
 		}
@@ -260,55 +263,55 @@
 	})
 }
 
-// On a connection without a descriptor, a message whose writing could not begin is made again with the time that is left.
-func TestTimeoutIsRecomputed(t *testing.T) {
+// On a connection without a descriptor, a message that could not be written must be encoded again with the time that is left.
+func TestTimeoutRecomputedAfterBlockedWrite(t *testing.T) {
 	w := start(t, 1)
-	here, there := net.Pipe() // takes nothing that is not read
+	directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
 	r := w.bareRequest(w.director.clock.now() + time.Second)
 	deadline := time.Now().Add(time.Second)
 	slow := bareAttempt(r, "slow")
-	slow.command.Timeout = time.Second // as of the order
-	w.newWritingConn(slow, here)
-	time.Sleep(130 * time.Millisecond) // what the node leaves lying; less than makes the attempt void
-	command, err := readNodeCommand(bufio.NewReader(there))
+	slow.command.Timeout = time.Second // as at the time of the order
+	w.newWritingConn(slow, directorConn)
+	time.Sleep(130 * time.Millisecond) // during which the node reads nothing; too short for the attempt to become void
+	command, err := readNodeCommand(bufio.NewReader(peerConn))
 	if err != nil || command.id != "slow" {
-		t.Fatalf("%v, %v", command, err)
+		t.Fatalf("got %v, %v; want the request with id slow", command, err)
 	}
 	command.checkTimeout(t, deadline)
 }
 
-// After a pause between making and writing a request, the request is made again, as its timeout is too long by then.
-func TestPauseBetweenMakingAndWriting(t *testing.T) {
+// After a pause between encoding and writing a request, the request must be encoded again, since its timeout is too long by then.
+func TestPauseBetweenEncodingAndWriting(t *testing.T) {
 	w := start(t, 1)
 	deadline := time.Now().Add(time.Second)
 	r := w.bareRequest(w.director.clock.now() + time.Second)
-	here, there := w.acceptPair(listen(t))
+	directorConn, peerConn := w.acceptPair(listen(t))
 	conn := w.newDiallingConn(bareAttempt(r, "paused"))
-	if !conn.established(here, nil) {
+	if !conn.established(directorConn, nil) {
 		t.Fatal("not established")
 	}
 	message, item, firstByteBy := conn.nextMessage()
 	time.Sleep(2 * writeSlice) // the pause
-	n, err := writeMessage(here, message, firstByteBy, time.Now().Add(time.Second))
+	n, err := writeMessage(directorConn, message, firstByteBy, time.Now().Add(time.Second))
 	if n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("%d of %d bytes left, %v", n, len(message), err)
+		t.Errorf("wrote %d of %d bytes, %v; want none, os.ErrDeadlineExceeded", n, len(message), err)
 	}
 	if !conn.handleWritten(item, n, len(message), err) {
-		t.Error("the connection has ended")
+		t.Error("the connection has ended, want it to stay usable")
 	}
 	message, _, firstByteBy = conn.nextMessage()
-	if _, err := writeMessage(here, message, firstByteBy, time.Now().Add(time.Second)); err != nil {
+	if _, err := writeMessage(directorConn, message, firstByteBy, time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	there.SetReadDeadline(time.Now().Add(testTimeout))
-	command, err := readNodeCommand(bufio.NewReader(there))
+	peerConn.SetReadDeadline(time.Now().Add(testTimeout))
+	command, err := readNodeCommand(bufio.NewReader(peerConn))
 	if err != nil || command.id != "paused" {
-		t.Fatalf("%v, %v", command, err)
+		t.Fatalf("got %v, %v; want the request with id paused", command, err)
 	}
 	command.checkTimeout(t, deadline)
 }
 
-// pausedBeforeWrite is a connection on which setting a write deadline takes a pause, and the deadline has no effect.
+// pausedBeforeWrite is a connection on which setting a write deadline blocks for the pause, and the deadline has no effect.
 type pausedBeforeWrite struct {
 	net.Conn
 	pause   time.Duration
@@ -325,9 +328,9 @@
 	return len(b), nil
 }
 
-// After a pause between setting the write deadline and the write, nothing is written, although the deadline has no effect
+// After a pause between setting the write deadline and the write, nothing may be written, although the deadline has no effect
 // yet.
-func TestPauseAfterTheWriteDeadlineWasSet(t *testing.T) {
+func TestPauseAfterWriteDeadlineSet(t *testing.T) {
 	for _, test := range []struct {
 		pause time.Duration
 		want  error
@@ -344,22 +347,22 @@
 	}
 }
 
-// Nothing is written once no time is left: neither after the client's deadline nor after the attempt's own timeout.
-func TestNothingIsWrittenWithoutTime(t *testing.T) {
+// Nothing may be written once no time is left, neither after the client's deadline nor after the attempt's own timeout.
+func TestNothingWrittenAfterDeadline(t *testing.T) {
 	w := start(t, 1)
 	now := w.director.clock.now()
 	for name, c := range map[string]struct {
 		deadline, timeout time.Duration
 		want              Ending
 	}{
-		"the client's":  {now, 0, NotSent},
-		"the attempt's": {now + time.Hour, time.Nanosecond, OrderExpired},
+		"client deadline": {now, 0, NotSent},
+		"attempt timeout": {now + time.Hour, time.Nanosecond, OrderExpired},
 	} {
 		r := w.bareRequest(c.deadline)
 		late := bareAttempt(r, "")
 		late.orderedAt, late.command.Order.Timeout = now, c.timeout
 		if message, _, _ := w.newDiallingConn(late).nextMessage(); message != nil {
-			t.Errorf("%s: %q is written", name, message)
+			t.Errorf("%s: got message %q, want none", name, message)
 		}
 		if ended := w.nextEnded(r); ended.ending != c.want {
 			t.Errorf("%s: ended as %v, want %v", name, ended.ending, c.want)
@@ -367,7 +370,7 @@
 	}
 }
 
-// pausedConn is a connection whose first write takes only some bytes, and returns after a pause.
+// pausedConn is a connection whose first write writes only some bytes, and returns after a pause.
 type pausedConn struct {
 	net.Conn
 	wait time.Duration
@@ -385,97 +388,98 @@
 	return n, err
 }
 
-// The rest of a request does not leave once the timeout in it is exceeded by more than half of the slack. The attempt then
-// ends as PartlySent, and its connection ends as well. The rest of a cancellation may leave later.
-func TestRestOfARequestLeavesInTime(t *testing.T) {
+// The rest of a partly written request must not be written once the timeout in it is too long by more than half of the slack. The
+// attempt must then end as PartlySent, and its connection must end as well. The rest of a cancellation may be written later.
+func TestRestOfPartlyWrittenRequest(t *testing.T) {
 	const late = 130 * time.Millisecond
 	for name, test := range map[string]struct {
-		paused       bool // the process is paused within the request; else the node does not take the rest
+		paused       bool // the process is paused within the request; otherwise the node does not read the rest
 		cancellation bool
 		wait         time.Duration
 		complete     bool
 	}{
-		"process paused":            {paused: true, wait: late},
-		"process paused for less":   {paused: true, wait: 20 * time.Millisecond, complete: true},
-		"node takes the rest late":  {wait: late},
-		"node takes it soon enough": {wait: 35 * time.Millisecond, complete: true},
-		"cancellation":              {cancellation: true, wait: late, complete: true},
+		"process paused":           {paused: true, wait: late},
+		"process paused for less":  {paused: true, wait: 20 * time.Millisecond, complete: true},
+		"node reads the rest late": {wait: late},
+		"node reads it in time":    {wait: 35 * time.Millisecond, complete: true},
+		"cancellation":             {cancellation: true, wait: late, complete: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if test.complete { // on a busy machine the writer itself may be late
-				tryUntilInTime(t, func() bool { return restLeaves(t, test.paused, test.cancellation, test.wait) })
-			} else if restLeaves(t, test.paused, test.cancellation, test.wait) {
-				t.Error("the rest left")
+				tryUntilInTime(t, func() bool { return writesRest(t, test.paused, test.cancellation, test.wait) })
+			} else if writesRest(t, test.paused, test.cancellation, test.wait) {
+				t.Error("the rest was written, want PartlySent")
 			}
 		})
 	}
 }
 
-// restLeaves writes a request or a cancellation whose rest can leave only after the wait. It returns whether the rest left. If
-// it did not, restLeaves checks how the request ended.
-func restLeaves(t *testing.T, paused, cancellation bool, wait time.Duration) bool {
+// writesRest writes a request or a cancellation whose rest can be written only after the wait. It returns whether the rest was
+// written. If it was not, writesRest checks how the request ended.
+func writesRest(t *testing.T, paused, cancellation bool, wait time.Duration) bool {
 	t.Helper()
 	w := start(t, 1)
-	here, there := net.Pipe() // takes nothing that is not read
+	directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
 	r := w.bareRequest(time.Hour)
-	inPart := bareAttempt(r, "in-part")
-	c := w.newDiallingConn(inPart)
+	partial := bareAttempt(r, "in-part")
+	c := w.newDiallingConn(partial)
 	if cancellation {
 		w.director.pool.mu.Lock()
 		c.queue = nil
-		inPart.advance(attemptWriting)
-		c.enqueue(outgoing{attempt: inPart, cancellation: true, reason: Cancelled})
+		partial.advance(attemptWriting)
+		c.enqueue(outgoing{attempt: partial, cancellation: true, reason: Cancelled})
 		w.director.pool.mu.Unlock()
 	}
 	if paused {
-		here = &pausedConn{Conn: here, wait: wait}
+		directorConn = &pausedConn{Conn: directorConn, wait: wait}
 	}
-	c.established(here, nil)
-	go c.write(here)
-	there.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, err := io.ReadFull(there, make([]byte, fewBytes)); err != nil {
+	c.established(directorConn, nil)
+	go c.write(directorConn)
+	peerConn.SetReadDeadline(time.Now().Add(testTimeout))
+	if _, err := io.ReadFull(peerConn, make([]byte, fewBytes)); err != nil {
 		t.Fatal(err)
 	}
 	if !paused {
 		time.Sleep(wait)
 	}
-	if _, err := io.ReadFull(there, make([]byte, fewBytes)); err == nil {
+	if _, err := io.ReadFull(peerConn, make([]byte, fewBytes)); err == nil {
 		return true
 	}
 	w.expectEnding(r, PartlySent)
 	if !c.hasEnded() {
-		t.Error("the connection goes on")
+		t.Error("the connection has not ended")
 	}
 	return false
 }
 
 const (
-	readTimeout  = 2 * time.Second        // of the requests that are read late
-	unreadFor    = 120 * time.Millisecond // how long they lay unread, at least
+	readTimeout  = 2 * time.Second        // timeout of the requests that are read late
+	unreadFor    = 120 * time.Millisecond // minimum time for which they are unread
 	unreadMargin = 20 * time.Millisecond
 )
 
-// stalled makes the clock report that the process was stalled from a time until just now, and that the catch-up is over.
-func (c *clock) stalled(from time.Duration) {
+// simulateStall makes the clock report a stall of the process that began at the given time, has just ended and needs no more
+// catch-up.
+func (c *clock) simulateStall(from time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stalledFrom, c.backlogFrom, c.catchUpUntil = from, from, c.now()
 }
 
 // unreadClient connects a new client that the director has accepted but does not read yet.
-func (w *world) unreadClient() *clientConn {
-	here, there := w.acceptPair(listen(w.t))
-	w.useConn(there)
-	return newClientConn(w.director, here)
+func (w *harness) unreadClient() *clientConn {
+	directorConn, peerConn := w.acceptPair(listen(w.t))
+	w.useConn(peerConn)
+	return newClientConn(w.director, directorConn)
 }
 
-// forwardedTimeout sends a request, has it answered, and returns the timeout that the node was given. If between is given, it
+// forwardedTimeout sends a request, answers it as the node, and returns the timeout that the node received. afterSend, unless nil,
 // is called after the request was sent.
-func (w *world) forwardedTimeout(between func()) time.Duration {
+func (w *harness) forwardedTimeout(afterSend func()) time.Duration {
 	w.t.Helper()
 	id := w.sendRequest("page", int(readTimeout.Milliseconds()), "")
-	if between != nil {
-		between()
+	if afterSend != nil {
+		afterSend()
 	}
 	command := w.nextCommand("GET")
 	command.reply(w.t, "HIT", "-", "")
@@ -483,15 +487,15 @@
 	return command.timeout(w.t)
 }
 
-// What a reader reads only after the catch-up of a stall counts from the beginning of the stall. Once it has found nothing
-// unread, what it reads counts as just arrived.
-func TestReadLateAfterAStall(t *testing.T) {
+// Bytes that a reader reads only after the catch-up of a stall must count as arrived at the beginning of the stall. Once the
+// reader has found no bytes unread, bytes that it reads must count as just arrived.
+func TestRequestReadLateAfterStall(t *testing.T) {
 	w := start(t, 1)
 	c := w.unreadClient()
 	stalledFrom := w.director.clock.now()
 	timeout := w.forwardedTimeout(func() {
 		time.Sleep(unreadFor)
-		w.director.clock.stalled(stalledFrom)
+		w.director.clock.simulateStall(stalledFrom)
 		go c.read()
 	})
 	if timeout > readTimeout-unreadFor {
@@ -500,21 +504,21 @@
 	tryUntilInTime(t, func() bool { return w.forwardedTimeout(nil) > readTimeout-unreadFor+unreadMargin })
 }
 
-// What arrives after a stall counts as just arrived for a reader that waited through the stall, also within the time that
-// others need to catch up.
-func TestIdleThroughAStall(t *testing.T) {
+// For a reader that was waiting during a stall, bytes that arrive after the stall must count as just arrived, also within the time
+// that other readers need to catch up.
+func TestRequestAfterStallOfIdleConnection(t *testing.T) {
 	tryUntilInTime(t, func() bool {
 		w := start(t, 1)
 		w.forwardedTimeout(nil)
 		stalledFrom := w.director.clock.now()
 		time.Sleep(unreadFor)
-		w.director.clock.stalled(stalledFrom)
+		w.director.clock.simulateStall(stalledFrom)
 		w.director.clients.each((*clientConn).noteIfEmpty) // as the timers' goroutine does at the end of a stall
 		return w.forwardedTimeout(nil) > readTimeout-unreadFor+unreadMargin
 	})
 }
 
-// The timers' goroutine checks all client connections when it detects a stall.
+// When the timers' goroutine detects a stall, it must check all client connections for unread bytes.
 func TestStallChecksAllClients(t *testing.T) {
 	w := start(t, 1)
 	w.forwardedTimeout(nil)
@@ -522,35 +526,35 @@
 	w.director.clock.mu.Lock()
 	w.director.clock.lastWake = -time.Hour
 	w.director.clock.mu.Unlock()
-	w.waitUntil("looked at", func() bool {
-		seen := false
-		w.director.clients.each(func(c *clientConn) { seen = seen || time.Duration(c.emptyAt.Load()) > before })
-		return seen
+	w.waitUntil("checked", func() bool {
+		checked := false
+		w.director.clients.each(func(c *clientConn) { checked = checked || time.Duration(c.emptyAt.Load()) > before })
+		return checked
 	})
-	if took := w.director.clock.now() - before; took > clientIdleTimeout/2 { // by itself its reader looks after clientIdleTimeout
-		t.Errorf("looked at after %v", took)
+	if took := w.director.clock.now() - before; took > clientIdleTimeout/2 { // without a stall, its reader checks only after clientIdleTimeout
+		t.Errorf("checked after %v, want at most half of clientIdleTimeout", took)
 	}
 }
 
-// heldListener is a listener whose Accept returns only once it is released, as for a goroutine that gets no core.
-type heldListener struct {
+// blockingListener is a listener whose Accept returns only once it is released, as in a goroutine that gets no core.
+type blockingListener struct {
 	net.Listener
 	calls    atomic.Int32
 	released chan struct{}
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *blockingListener) Accept() (net.Conn, error) {
 	l.calls.Add(1)
 	conn, err := l.Listener.Accept()
 	<-l.released
 	return conn, err
 }
 
-// If a client connects and writes during a stall, and its connection is accepted only after the catch-up, its request counts
-// from the beginning of the stall.
-func TestAcceptedLateAfterAStall(t *testing.T) {
+// If a client connects and writes during a stall, and its connection is accepted only after the catch-up, its request must count
+// as arrived at the beginning of the stall.
+func TestConnectionAcceptedLateAfterStall(t *testing.T) {
 	w := start(t, 1)
-	l := &heldListener{Listener: listen(t), released: make(chan struct{})}
+	l := &blockingListener{Listener: listen(t), released: make(chan struct{})}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	w.serveOn(ctx, l)
@@ -559,22 +563,22 @@
 	w.connect(l.Addr().String())
 	timeout := w.forwardedTimeout(func() {
 		time.Sleep(unreadFor)
-		w.director.clock.stalled(stalledFrom)
+		w.director.clock.simulateStall(stalledFrom)
 		close(l.released)
 	})
 	if timeout > readTimeout-unreadFor {
 		t.Errorf("a node is given %v for a request that came %v before", timeout, unreadFor)
 	}
 	tryUntilInTime(t, func() bool {
-		time.Sleep(stalledLatelyFor)
+		time.Sleep(recentStallTime)
 		w.connect(l.Addr().String())
 		return w.forwardedTimeout(nil) > readTimeout-unreadFor+unreadMargin
 	})
 }
 
-// What clients write while accept fails counts from the first fault. What arrives later on such a connection, or on one that
-// did not wait to be accepted, counts as just arrived.
-func TestAcceptedAfterFaults(t *testing.T) {
+// Bytes that clients write while accept fails must count as arrived at the first fault. Bytes that arrive later on such a
+// connection, or on one that did not wait to be accepted, must count as just arrived.
+func TestConnectionAcceptedAfterFaults(t *testing.T) {
 	w := start(t, 1)
 	l := &failingListener{TCPListener: listen(t).(*net.TCPListener), last: syscall.EMFILE}
 	ctx, stop := context.WithCancel(context.Background())
@@ -599,8 +603,9 @@
 	})
 }
 
-// What clients write while the accepting goroutine is delayed outside of a call of accept counts from their connecting.
-func TestAcceptedAfterADelay(t *testing.T) {
+// Bytes that clients write while the accepting goroutine is delayed outside of a call of accept must count as arrived when the
+// clients connected.
+func TestConnectionAcceptedAfterDelay(t *testing.T) {
 	w := start(t, 1)
 	listener := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -609,7 +614,7 @@
 	w.connect(listener.Addr().String())
 	w.forwardedTimeout(nil)
 	w.director.clients.mu.Lock()
-	dial(t, listener.Addr().String()) // finds no place yet
+	dial(t, listener.Addr().String()) // blocks the accepting goroutine at the locked mutex
 	w.connect(listener.Addr().String())
 	timeout := w.forwardedTimeout(func() {
 		time.Sleep(unreadFor)
@@ -629,12 +634,13 @@
 type acceptCall struct {
 	called, returned time.Duration
 	arrival          time.Duration // the earliest arrival of its connection; 0: when it returned
-	empty            bool          // no connection waited before it
+	empty            bool          // no connection waited before the call
 	failed           bool
-	want             time.Duration // since when its connection may have waited; not checked if it failed
+	want             time.Duration // since when its connection may have waited; not checked if the call failed
 }
 
-// How long a connection may have waited to be accepted depends on what happened to the calls of accept before.
+// Tests the estimate of how long a connection may have waited to be accepted, after different results of the earlier calls of
+// accept.
 func TestAcceptBacklog(t *testing.T) {
 	const ms = time.Millisecond
 	for name, calls := range map[string][]acceptCall{
@@ -647,12 +653,12 @@
 			{called: 20, returned: 20, failed: true},
 			{called: 40, returned: 41, want: 10},
 		},
-		"the next behind it as well": {
+		"two connections after a fault": {
 			{called: 10, returned: 10, empty: true, failed: true},
 			{called: 20, returned: 20, want: 10},
 			{called: 20, returned: 21, want: 10},
 		},
-		"a fault between": {
+		"a fault between two connections": {
 			{called: 10, returned: 10, empty: true, failed: true},
 			{called: 20, returned: 20, want: 10},
 			{called: 20, returned: 20, failed: true},
@@ -662,17 +668,17 @@
 			{called: 10, returned: 10, empty: true, failed: true},
 			{called: 30, returned: 30, want: 10},
 		},
-		"an empty queue ends it": {
+		"an empty queue ends the backlog": {
 			{called: 10, returned: 10, empty: true, failed: true},
 			{called: 20, returned: 30, empty: true, want: 30},
 			{called: 30, returned: 31, empty: true, want: 31},
 		},
-		"a late return while a connection waits does not end it": {
+		"a late return while a connection waits does not end the backlog": {
 			{called: 10, returned: 10, empty: true, failed: true},
 			{called: 20, returned: 50, want: 10},
 			{called: 50, returned: 60, want: 10},
 		},
-		"time ends it": {
+		"acceptBacklogTimeout ends the backlog": {
 			{called: 10, returned: 10, empty: true, failed: true},
 			{called: 20, returned: 20, want: 10},
 			{called: 21, returned: 120, want: 10},
@@ -718,14 +724,14 @@
 				if c.failed {
 					backlog.noteFault(c.called*ms, c.returned*ms, c.arrival*ms)
 				} else if since := backlog.noteAccepted(c.returned*ms, c.arrival*ms); since != c.want*ms {
-					t.Errorf("call %d: waited since %v, want %v", i, since, c.want*ms)
+					t.Errorf("call %d: got wait since %v, want %v", i, since, c.want*ms)
 				}
 			}
 		})
 	}
 }
 
-// The queue of a listener is empty until a client connects, and again once its connection is accepted.
+// The accept queue of a listener must be empty until a client connects, and again once its connection is accepted.
 func TestAcceptQueue(t *testing.T) {
 	listener := listen(t)
 	queue := newAcceptQueue(listener)
--- a/internal/director/director.go
+++ b/internal/director/director.go
@@ -1,6 +1,6 @@
-// Package director serves clients on sockets. Package routing makes the decisions. One mutex guards routing, and nothing
-// blocks while it is held. Each connection has a goroutine that reads it. Each request has a goroutine that runs it from
-// admission to answer.
+// Package director serves clients over sockets and carries out the decisions of package routing. One mutex guards the
+// routing state, and no goroutine blocks while it holds that mutex. One goroutine reads each connection, and one goroutine
+// runs each request from its admission to its answer.
 package director
 
 import (
@@ -17,7 +17,7 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// The director itself: the state that all its parts share, and how routing's orders reach requests.
+// This file has the director's shared state and the delivery of routing's orders to requests.
 
 // Director is one director: a listener, the connections to clients, nodes and the journal service, and the routing state.
 type Director struct {
@@ -29,20 +29,20 @@
 	clock   *clock
 	network Network
 
-	connectionLog *rateLimitedLog // connections to nodes, and stalls of the process
-	acceptLog     *rateLimitedLog // faults of accept
-	clientLog     *rateLimitedLog // client connections; separate, so that bad clients hide no other line
+	connectionLog *rateLimitedLog // connections to nodes and stalls of the process
+	acceptLog     *rateLimitedLog // errors of accept
+	clientLog     *rateLimitedLog // client connections; a separate log, so that faulty clients do not suppress other lines
 	clients       clientSet
 	observer      Observer            // nil: none
-	journalMoves  chan netip.AddrPort // new address of the journal service; holds the newest one only
-	shuttingDown  atomic.Bool         // the signal to shut down was received
-	rejecting     atomic.Bool         // the last phases of the shutdown: each request that is read is rejected
-	bodyBytes     atomic.Int64        // bytes of bodies that all requests hold
+	journalMoves  chan netip.AddrPort // new addresses of the journal service; buffers the newest one only
+	shuttingDown  atomic.Bool         // the shutdown signal was received
+	rejecting     atomic.Bool         // set in the last phases of the shutdown: requests that are read are rejected
+	bodyBytes     atomic.Int64        // body bytes held by all requests
 
 	mu          sync.Mutex // guards the fields below, the clock's timers, and the answerDue and holdsID of requests
 	router      *routing.Director
-	requests    map[uint32]*request // by routing's id, until the request's goroutine ends
-	openIDs     map[string]bool     // request ids that clients must not use again yet
+	requests    map[uint32]*request // by the id for routing, until the request's goroutine ends
+	openIDs     map[string]bool     // request ids in use, which clients must not use again yet
 	lastID      uint32              // the last id that nextID returned
 	journal     *journalClock
 	lastEvent   uint64        // number of the last discovery event applied
@@ -76,10 +76,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.router = routing.New(conf.Settings, d)
-	// The journal clock learns all stamps before any event is applied: all events were made before the start, so the newest
-	// stamp dates them all.
+	// All these events were made before the director started. The journal clock therefore reads all their stamps before any
+	// event is applied, so that the newest stamp determines the times of all.
 	for _, known := range conf.Known {
-		d.journal.learn(0, known)
+		d.journal.updateOrigin(0, known)
 	}
 	for _, known := range conf.Known {
 		d.applyEvent(known)
@@ -89,32 +89,33 @@
 }
 
 // The methods from here to CheckHealth implement routing.Executor. Routing calls them while the director's mutex is held, so
-// none may block. They pass the order on to the request's goroutine.
+// none may block. They forward the order to the request's goroutine.
 
-// StartAttempt orders a request to begin an attempt.
+// StartAttempt makes a request start an attempt.
 func (d *Director) StartAttempt(id uint32, order routing.AttemptOrder) {
 	d.deliverOrder(id, func(r *request) { r.startAttempt(order) })
 }
 
-// CancelAttempt orders a request to cancel one of its attempts.
+// CancelAttempt makes a request cancel one of its attempts.
 func (d *Director) CancelAttempt(id uint32, number int) {
 	d.deliverOrder(id, func(r *request) { r.cancelAttempt(number, Cancelled) })
 }
 
-// Reject orders a request to answer that nothing was executed, with the time after which the client may retry.
+// Reject makes a request answer that it was not executed, with the time after which the client may retry.
 func (d *Director) Reject(id uint32, retryAfter time.Duration) {
 	d.deliverFinal(id, func(r *request) { r.reject(retryAfter) })
 }
 
-// Fail orders a request to answer with an error, which leaves open whether it was executed.
+// Fail makes a request answer with an error. The request may have been executed.
 func (d *Director) Fail(id uint32) {
-	d.deliverFinal(id, func(r *request) { r.fail("given up") })
+	d.deliverFinal(id, func(r *request) { r.fail("the request failed and may have been executed") })
 }
 
-// SetTimer calls routing.Director.HandleTimer with the token after the wait.
+// SetTimer schedules a call of routing.Director.HandleTimer with the token after the wait.
 func (d *Director) SetTimer(wait time.Duration, token uint32) { d.clock.setTimer(wait, token) }
 
-// CheckHealth asks a node whether it runs, and reports the result to routing. It reports nothing if no socket can be spared.
+// CheckHealth pings a node and reports the result to routing. It reports nothing if no socket can be spared or a fault of
+// this host prevents the check.
 func (d *Director) CheckHealth(id uint32) {
 	d.pool.checkHealth(id, func(result routing.Result) {
 		d.mu.Lock()
@@ -124,15 +125,15 @@
 	})
 }
 
-// deliverOrder queues an order for a request. It drops an order for an unknown request: one whose goroutine has ended after
-// a panic.
+// deliverOrder queues an order for a request. It drops the order if the request is unknown, which is the case after the
+// request's goroutine ended with a panic.
 func (d *Director) deliverOrder(id uint32, order func(*request)) {
 	if r := d.requests[id]; r != nil {
-		r.orders <- func() { order(r) } // never blocks: the channel holds all that routing may order
+		r.orders <- func() { order(r) } // never blocks: the channel has room for all orders that routing may give
 	}
 }
 
-// deliverFinal queues an order for the final answer, unless the request already has one.
+// deliverFinal queues an order for the final answer, unless the final answer is no longer due.
 func (d *Director) deliverFinal(id uint32, order func(*request)) {
 	if r := d.requests[id]; r != nil && r.answerDue {
 		r.answerDue = false
@@ -140,7 +141,7 @@
 	}
 }
 
-// nextID returns an id that no open request has, also after the count has wrapped around. The caller holds the director's
+// nextID returns an id that no open request has, even after the counter has wrapped around. The caller holds the director's
 // mutex.
 func (d *Director) nextID() uint32 {
 	d.lastID++
@@ -150,21 +151,21 @@
 	return d.lastID
 }
 
-// defaultRetryAfter is the Retry-After of a rejection if routing panics instead of naming one.
+// defaultRetryAfter is the Retry-After of a rejection if routing panics while it computes one.
 const defaultRetryAfter = 100 * time.Millisecond
 
-// retryAfter returns the time after which a client that is rejected for a bound may retry. The id only spreads the retries
-// of different requests over time.
+// retryAfter returns the time after which a client may retry a request that was rejected because a bound was reached. The id
+// serves only to spread the retries of different requests over time.
 func (d *Director) retryAfter(id uint32) (wait time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	defer d.recoverDefect("come back")
-	wait = defaultRetryAfter // the result after a panic
+	defer d.recoverDefect("retry after")
+	wait = defaultRetryAfter // the result if routing panics
 	return d.router.RetryAfter(id)
 }
 
-// recoverDefect recovers from a panic and logs it; callers defer it. It guards the process against a defect in one request,
-// timer or event.
+// recoverDefect recovers from a panic and logs it; callers defer it. It keeps a defect in the handling of one request, timer
+// or event from ending the process.
 func (d *Director) recoverDefect(where string) {
 	if fault := recover(); fault != nil {
 		d.logPanic(where, fault)
@@ -176,7 +177,7 @@
 	d.log.WithField("panic", fault).Errorf("%s: %s", where, debug.Stack())
 }
 
-// isClosed returns whether a channel is closed. Nothing may ever be sent on the channel.
+// isClosed returns whether a channel is closed. It requires a channel on which no value is ever sent.
 func isClosed(channel <-chan struct{}) bool {
 	select {
 	case <-channel:
--- a/internal/director/ending.go
+++ b/internal/director/ending.go
@@ -11,37 +11,37 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// How connections and attempts end, and what routing learns of that.
+// This file has the ways in which connections and attempts end, and the results that are reported to routing.
 
-// Ending tells how a connection or an attempt ended.
+// Ending is the way in which a connection or an attempt ended.
 type Ending uint8
 
-// The first six are endings of connections, the others of attempts. An attempt may also end as its connection did.
+// The first six are endings of connections, the others of attempts. An attempt may also have the ending of its connection.
 const (
 	Closed              Ending = iota // the other side closed the connection between messages
 	Stopped                           // the director closed the connection, with nothing open on it
 	Broken                            // the connection broke, or was closed within a message
 	Unreadable                        // the bytes received cannot be read; the connection is no longer trusted
-	Stalled                           // the other side took no bytes, or stopped halfway through a message, for too long
-	ConnectFailed                     // refused, unreachable, or not up in time
-	OrderExpired                      // its writing did not begin in time, or the connection broke before
-	NotSent                           // its request ended before anything of it was written
-	NoSocket                          // no socket was left to send it on
-	NoMemory                          // answered, but the bodies held would exceed the bound
+	Stalled                           // for too long, the other side read no bytes or did not complete a message
+	ConnectFailed                     // the dial was refused or timed out, or the node was unreachable
+	OrderExpired                      // it was not written in time, or the connection ended before it was written
+	NotSent                           // its request ended before any of it was written
+	NoSocket                          // no socket was available to send it
+	NoMemory                          // it was answered, but the body would have exceeded the bound on bodies
 	PartlySent                        // the connection ended before the request was completely written
 	AnswerLost                        // the connection ended after the request was completely written
 	Cancelled                         // cancelled by the director
 	Expired                           // the client's timeout passed
 	AnsweredHit                       // a success with a body
 	AnsweredNotModified               // a success: the client's own copy is valid
-	AnsweredNotCached                 // the node does not have the object, and was told not to fill it
+	AnsweredNotCached                 // the node does not have the object, and the request did not allow a fill
 	AnsweredRejected                  // the node rejected the request
 	AnsweredFault                     // the node answered with an error
 	AnsweredLate                      // the node received it after its request had finished
-	LocalFault                        // a system call failed for a fault of this host before anything was written
+	LocalFault                        // a fault of this host made a system call fail before anything was written
 )
 
-// endings holds the names of the endings, which stand in the log.
+// endings holds the names of the endings in the log.
 var endings = [...]string{
 	Closed:              "closed",
 	Stopped:             "stopped",
@@ -69,9 +69,9 @@
 // String returns the name of the ending in the log.
 func (e Ending) String() string { return endings[e] }
 
-// result returns what routing learns of an attempt with this ending. After ConnectFailed, NotSent, Rejected, NotCached,
-// Obsolete and LocalError, routing may send again even a request that must not be executed twice. So only endings that prove
-// that the request was never executed may have one of these results.
+// result returns the result of an attempt with this ending in the form that routing uses. After ConnectFailed, NotSent,
+// Rejected, NotCached, Obsolete and LocalError, routing may retry even a request that must not be executed twice. So only
+// endings that prove that the request was never executed may have one of these results.
 func (e Ending) result() routing.Result {
 	switch e {
 	case AnsweredHit, AnsweredNotModified:
@@ -131,12 +131,12 @@
 	return Unreadable
 }
 
-// endingOfDial returns the ending of a connection whose dial failed with the error. Only some errors show that there is no
-// node: a healthy node resets new connections now and then, and a fault of this host says nothing about the node.
+// endingOfDial returns the ending of a connection whose dial failed with the error. Only some errors show that the node does
+// not run: a healthy node occasionally resets new connections, and a fault of this host says nothing about the node.
 func endingOfDial(err error) Ending {
 	var networkError net.Error
 	switch {
-	case isLocalFault(err): // checked first, as the system's EAGAIN would pass for a timeout
+	case isLocalFault(err): // checked first, since EAGAIN also reports itself as a timeout
 		return LocalFault
 	case errors.As(err, &networkError) && networkError.Timeout():
 		return ConnectFailed
--- a/internal/director/faults.go
+++ b/internal/director/faults.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// Faults of the director's own host, which may lack descriptors, buffers, ports or a route for a moment. They say nothing
-// about the node at the other end. An operation that meets one is tried again within a time limit.
+// This file handles faults of the director's own host, such as a temporary lack of descriptors, buffers, ports or a route. They
+// say nothing about the node at the other end, so the operation is retried within a time limit.
 
 const (
-	firstBackoff = 10 * time.Millisecond // wait before the first retry after a fault of this host; it doubles each time
-	maxBackoff   = 80 * time.Millisecond // longest wait between two tries
+	firstBackoff = 10 * time.Millisecond // wait before the first retry after a fault of this host; it doubles with each retry
+	maxBackoff   = 80 * time.Millisecond // longest wait before a retry
 )
 
-// backoff is the wait between tries. It doubles with each try, up to a limit.
+// backoff is an exponential backoff: the wait doubles with each retry, up to a limit.
 type backoff struct{ next, limit time.Duration }
 
-// newBackoff returns the backoff of dials and of listening.
+// newBackoff returns the backoff for dials and for opening the listener.
 func newBackoff() backoff { return backoff{next: firstBackoff, limit: maxBackoff} }
 
-// take returns how long to wait before the next try, and doubles the wait after that.
+// take returns the wait before the next retry, and doubles the wait after that.
 func (b *backoff) take() time.Duration {
 	wait := b.next
 	b.next = min(2*b.next, b.limit)
 	return wait
 }
 
-// isLocalFault returns whether an error is a system call's failure for a fault of this host. Errors that the other side or
-// the network may have caused do not count, nor do errors that come from no system call.
+// isLocalFault returns whether an error is a system call that failed because of a fault of this host. It returns false for
+// errors that the other side or the network may have caused, and for errors that do not come from a system call.
 func isLocalFault(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -45,8 +45,8 @@
 	return true
 }
 
-// dialWithRetries dials, and dials again while a fault of this host prevents it. No try begins after retryFor, and each try
-// may take the timeout. It returns the last error, or the context's error once the context has ended.
+// dialWithRetries dials, with retries if a fault of this host prevents it. No dial begins after retryFor, and each dial may take
+// the timeout. It returns the last error, or the context's error once the context has ended.
 func dialWithRetries(ctx context.Context, network Network, address string, timeout, retryFor time.Duration) (net.Conn, error) {
 	end := time.Now().Add(retryFor)
 	for wait := newBackoff(); ; {
@@ -73,7 +73,7 @@
 	return n, nil
 }
 
-// uninterrupted is a reader that reads again if a signal interrupted it.
+// uninterrupted is a reader that repeats a read that a signal interrupted.
 type uninterrupted struct{ io.Reader }
 
 // Read reads as readSome does.
--- a/internal/director/faults_test.go
+++ b/internal/director/faults_test.go
@@ -15,20 +15,20 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// Faults of system calls, injected through Network, listeners and connections.
+// These tests inject faults of system calls through Network, listeners and connections.
 
 // dialError returns the error of package net for a failed dial.
 func dialError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
 
-// failingNetwork is a Network that fails a number of dials and listens, and may wrap connections.
+// failingNetwork is a Network whose first dials and listens fail, and that may wrap connections.
 type failingNetwork struct {
 	systemNetwork
 	address string                  // only dials to this address fail; empty: dials to all
-	errno   syscall.Errno           // how they fail
-	dials   atomic.Int32            // how many dials still fail
-	listens atomic.Int32            // how many listens still fail
+	errno   syscall.Errno           // the error of the failing calls
+	dials   atomic.Int32            // number of dials that still fail
+	listens atomic.Int32            // number of listens that still fail
 	wrap    func(net.Conn) net.Conn // nil: connections are not wrapped
 }
 
@@ -50,15 +50,15 @@
 	return n.systemNetwork.Listen("127.0.0.1:0")
 }
 
-// always is a number of failures that no test uses up.
+// always is a number of failures that exceeds the number of calls in any test.
 const always = 1 << 30
 
-// A fault of this host that lasts for some tries fails no request, and no node is blamed for it.
-func TestLocalFaultOfADialPasses(t *testing.T) {
+// A transient fault of this host must not fail a request and must not count as a failure of the node.
+func TestTransientLocalFaultOfDial(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENETUNREACH, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENFILE,
 		syscall.EMFILE, syscall.ENOMEM, syscall.EPERM, syscall.EACCES, syscall.EAGAIN} {
 		n := &failingNetwork{errno: errno}
-		w := startWith(t, 1, nil, func(w *world) {
+		w := startWith(t, 1, nil, func(w *harness) {
 			n.address = w.nodes[0].Addr().String()
 			n.dials.Store(3)
 			w.director.UseNetwork(n)
@@ -68,69 +68,69 @@
 	}
 }
 
-// A fault of this host that lasts longer than the lifetime of an order ends the attempt as LocalFault: it was never executed,
-// and the node is not to blame.
-func TestLocalFaultOfADialLasts(t *testing.T) {
+// A fault of this host that lasts longer than the lifetime of an order must end the attempt as LocalFault: the request was never
+// executed, and the node is not at fault.
+func TestPersistentLocalFaultOfDial(t *testing.T) {
 	n := &failingNetwork{errno: syscall.ENETUNREACH}
 	n.dials.Store(always)
-	w := startWith(t, 1, nil, func(w *world) { w.director.UseNetwork(n) })
+	w := startWith(t, 1, nil, func(w *harness) { w.director.UseNetwork(n) })
 	r := w.bareRequest(time.Hour)
 	before := time.Now()
 	w.director.pool.sendAttempt(1, bareAttempt(r, ""))
 	if ended := w.expectEnding(r, LocalFault); ended.ending.result() != routing.LocalError {
-		t.Errorf("reported as %v, want %v", ended.ending.result(), routing.LocalError)
+		t.Errorf("got result %v, want %v", ended.ending.result(), routing.LocalError)
 	}
 	if took := time.Since(before); took < w.director.pool.orderLifetime/2 || took > time.Second {
 		t.Errorf("ended after %v, want about the lifetime of an order, %v", took, w.director.pool.orderLifetime)
 	}
 }
 
-// A health check that a fault of this host prevents reports nothing about the node, and returns its socket.
-func TestHealthCheckWithALocalFault(t *testing.T) {
+// A health check that a fault of this host prevents must report nothing about the node, and must return its socket to the pool.
+func TestHealthCheckWithLocalFault(t *testing.T) {
 	n := &failingNetwork{errno: syscall.EADDRNOTAVAIL}
-	w := startWith(t, 1, nil, func(w *world) { w.director.UseNetwork(n) })
+	w := startWith(t, 1, nil, func(w *harness) { w.director.UseNetwork(n) })
 	n.dials.Store(2)
-	ends := make(chan routing.Result, 1)
-	tell := func(e routing.Result) { ends <- e }
-	w.director.pool.checkHealth(1, tell)
+	results := make(chan routing.Result, 1)
+	report := func(e routing.Result) { results <- e }
+	w.director.pool.checkHealth(1, report)
 	w.nextCommand("PING").reply(t, "PONG", "-", "")
-	if e := <-ends; e != routing.Served {
-		t.Errorf("after the fault has passed: %v", e)
+	if e := <-results; e != routing.Served {
+		t.Errorf("after the fault: got %v, want Served", e)
 	}
 	n.dials.Store(always)
 	w.director.pool.config.DialTimeout = 50 * time.Millisecond
 	w.director.pool.mu.Lock()
 	all := w.director.pool.socketsLeft
 	w.director.pool.mu.Unlock()
-	w.director.pool.checkHealth(1, tell)
+	w.director.pool.checkHealth(1, report)
 	w.waitUntil("over", func() bool {
 		w.director.pool.mu.Lock()
 		defer w.director.pool.mu.Unlock()
 		return w.director.pool.socketsLeft == all
 	})
 	select {
-	case e := <-ends:
-		t.Errorf("a verdict: %v", e)
+	case e := <-results:
+		t.Errorf("during the fault: got result %v, want none", e)
 	case <-time.After(50 * time.Millisecond):
 	}
-	if alive, asked := w.director.CheckMachine(Machine{ID: 1}, 50*time.Millisecond, "", ""); alive || asked {
-		t.Errorf("CheckMachine: alive %v, asked %v; want neither", alive, asked)
+	if alive, checked := w.director.CheckMachine(Machine{ID: 1}, 50*time.Millisecond, "", ""); alive || checked {
+		t.Errorf("CheckMachine: got alive %v, checked %v; want false, false", alive, checked)
 	}
 }
 
-// The journal service is dialled again soon after a fault of this host.
-func TestWatchAfterALocalFault(t *testing.T) {
+// After a fault of this host, the journal service must be dialled again within 2*watchRetryDelay.
+func TestWatchAfterLocalFault(t *testing.T) {
 	n := &failingNetwork{errno: syscall.EMFILE}
 	n.dials.Store(3)
 	before := time.Now()
-	w := startWith(t, 1, nil, func(w *world) { w.director.UseNetwork(n) })
+	w := startWith(t, 1, nil, func(w *harness) { w.director.UseNetwork(n) })
 	w.acceptWatch(w.journal)
 	if took := time.Since(before); took > 2*watchRetryDelay {
-		t.Errorf("connected after %v", took)
+		t.Errorf("connected after %v, want at most 2*watchRetryDelay", took)
 	}
 }
 
-// faultyConn is a connection on which every other call is interrupted, and the others read or write fewBytes at most.
+// faultyConn is a connection on which every second call is interrupted, and the others read or write fewBytes at most.
 type faultyConn struct {
 	net.Conn
 	reads, writes atomic.Int32
@@ -152,27 +152,27 @@
 	return c.Conn.Write(b[:min(fewBytes, len(b))])
 }
 
-// Interrupted calls, short reads and short writes change nothing on connections to nodes, clients and the journal service, nor
-// on those of health checks.
+// Interrupted calls, short reads and short writes must not cause errors on connections to nodes, clients and the journal service,
+// nor on those of health checks.
 func TestInterruptedAndShortCalls(t *testing.T) {
 	n := &failingNetwork{wrap: func(conn net.Conn) net.Conn { return &faultyConn{Conn: conn} }}
-	w := startWith(t, 1, nil, func(w *world) { w.director.UseNetwork(n) })
-	here, there := w.acceptPair(listen(t))
-	go newClientConn(w.director, &faultyConn{Conn: here}).read()
-	w.useConn(there)
+	w := startWith(t, 1, nil, func(w *harness) { w.director.UseNetwork(n) })
+	directorConn, peerConn := w.acceptPair(listen(t))
+	go newClientConn(w.director, &faultyConn{Conn: directorConn}).read()
+	w.useConn(peerConn)
 	w.expectServed("order", "a body of some bytes", "-", "an answer of some bytes")
-	ends := make(chan routing.Result, 1)
-	w.director.pool.checkHealth(1, func(e routing.Result) { ends <- e })
+	results := make(chan routing.Result, 1)
+	w.director.pool.checkHealth(1, func(e routing.Result) { results <- e })
 	w.nextCommand("PING").reply(t, "PONG", "-", "")
-	if e := <-ends; e != routing.Served {
-		t.Errorf("the health check ended as %v", e)
+	if e := <-results; e != routing.Served {
+		t.Errorf("health check: got %v, want Served", e)
 	}
 	if _, from := w.acceptWatch(w.journal); from != 1 {
-		t.Errorf("the watch starts from %d", from)
+		t.Errorf("watch: got start from %d, want 1", from)
 	}
 }
 
-// A connection that the other side or the network breaks ends as Broken, whichever way the system reports it.
+// A connection that is broken by the other side or the network must end as Broken, with each error that the system may report.
 func TestBrokenConnections(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		for _, err := range []error{errno, &net.OpError{Op: "read", Err: os.NewSyscallError("read", errno)}} {
@@ -183,12 +183,12 @@
 	}
 }
 
-// failingListener is a listener whose calls of Accept fail as the test sets.
+// failingListener is a listener whose calls of Accept fail with errors that the test sets.
 type failingListener struct {
 	*net.TCPListener
 	mu     sync.Mutex
-	errnos []syscall.Errno // one for each of the next calls
-	last   syscall.Errno   // for all calls after those; 0: they succeed
+	errnos []syscall.Errno // errors of the next calls, one each
+	last   syscall.Errno   // error of all calls after those; 0: none
 	calls  atomic.Int32
 }
 
@@ -206,9 +206,9 @@
 	return l.TCPListener.Accept()
 }
 
-// Passing faults of accept cost no client its connection. A permanent fault is logged once a second at most, is tried again at
-// a bounded rate, and does not delay the shutdown.
-func TestAcceptFails(t *testing.T) {
+// Transient faults of accept must not close a client's connection. A permanent fault must be logged once a second at most, be
+// retried at a bounded rate, and not delay the shutdown.
+func TestAcceptFaults(t *testing.T) {
 	w := start(t, 1)
 	l := &failingListener{
 		TCPListener: listen(t).(*net.TCPListener),
@@ -219,7 +219,7 @@
 	defer stop()
 	ended := w.serveOn(ctx, l)
 	w.connect(l.Addr().String())
-	w.expectServed("page", "", "-", "all the same")
+	w.expectServed("page", "", "-", "after the faults")
 	l.mu.Lock()
 	l.last = syscall.EMFILE
 	l.mu.Unlock()
@@ -228,7 +228,7 @@
 	w.waitUntil("tried often", func() bool { return l.calls.Load() > calls+10 })
 	stop()
 	w.awaitEnd(ended)
-	seconds := int(time.Since(before)/time.Second) + 2 // the passing faults have a line as well
+	seconds := int(time.Since(before)/time.Second) + 2 // the transient faults are logged as well
 	if logged := w.logged.count("msg=accept"); logged == 0 || logged > seconds+1 {
 		t.Errorf("logged %d times in %d s, want 1 to %d times", logged, seconds, seconds+1)
 	}
@@ -237,9 +237,9 @@
 	}
 }
 
-// The director listens once a fault of this host has passed, and returns the fault if it lasts. It returns at once if the
-// address is in use.
-func TestListenFails(t *testing.T) {
+// The director must listen once a fault of this host has passed, and return the error if it persists. It must return immediately
+// if the address is in use.
+func TestListenFaults(t *testing.T) {
 	w := start(t, 1)
 	ctx, stop := context.WithCancel(context.Background())
 	run := func(errno syscall.Errno, times int32) error {
@@ -251,13 +251,13 @@
 	}
 	before := time.Now()
 	if err := run(syscall.EADDRINUSE, always); !errors.Is(err, syscall.EADDRINUSE) || time.Since(before) > listenTimeout/2 {
-		t.Errorf("%v after %v", err, time.Since(before))
+		t.Errorf("address in use: got %v after %v, want EADDRINUSE at once", err, time.Since(before))
 	}
 	if err := run(syscall.EMFILE, always); !errors.Is(err, syscall.EMFILE) {
-		t.Errorf("a fault that lasts: %v", err)
+		t.Errorf("persistent fault: got %v, want EMFILE", err)
 	}
 	time.AfterFunc(200*time.Millisecond, stop)
 	if err := run(syscall.EMFILE, 3); err != nil {
-		t.Errorf("a fault that passes: %v", err)
+		t.Errorf("transient fault: got %v, want no error", err)
 	}
 }
--- a/internal/director/gone_test.go
+++ b/internal/director/gone_test.go
@@ -15,43 +15,43 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// Clients that have left: no attempt begins for them.
+// These tests check that no attempt begins for a client that has left.
 
-// Everything that arrived is read before any of it is started. So a request is never sent if its cancellation, or the end of
-// its client's stream, lies right behind it.
-func TestGoneBeforeItIsBegun(t *testing.T) {
+// All bytes that have arrived must be read before any request in them is started. So a request must never be sent if its
+// cancellation, or the end of its client's stream, arrived right behind it.
+func TestCancelledRequestNotStarted(t *testing.T) {
 	w := start(t, 1)
 	listener := listen(t)
 	for range 20 {
-		here, there := w.acceptPair(listener)
+		directorConn, peerConn := w.acceptPair(listener)
 		text := ""
 		for range 30 {
 			id, call := w.requestText("page", 5000, "")
 			text += call + cancellationText(id)
 		}
-		there.Write([]byte(text))
-		c := newClientConn(w.director, here)
+		peerConn.Write([]byte(text))
+		c := newClientConn(w.director, directorConn)
 		w.waitUntil("readable", c.hasUnread)
 		go c.read()
-		here, there = w.acceptPair(listener)
+		directorConn, peerConn = w.acceptPair(listener)
 		_, call := w.requestText("order", 5000, "x")
-		there.Write([]byte(call))
-		there.Close()
-		c = newClientConn(w.director, here)
+		peerConn.Write([]byte(call))
+		peerConn.Close()
+		c = newClientConn(w.director, directorConn)
 		w.waitUntil("readable", c.hasUnread)
 		c.read()
 	}
-	w.expectNothingElse("their clients had left")
+	w.expectNothingElse("the clients had left or cancelled")
 }
 
-// An attempt whose connection is still dialled is cancelled at once, whether or not the settings allow cancellations, and
-// whether the client cancels or closes.
-func TestGoneDuringADial(t *testing.T) {
-	for _, words := range [][]string{nil, {`"cancel":true`, `"cancel":false`}} {
+// An attempt whose connection is still being dialled must be cancelled immediately if the client cancels or closes its connection,
+// whether or not the settings allow cancellations.
+func TestClientLeavesDuringDial(t *testing.T) {
+	for _, replacements := range [][]string{nil, {`"cancel":true`, `"cancel":false`}} {
 		for _, closes := range []bool{false, true} {
 			var g *gate
-			w := startWith(t, 1, words, func(w *world) { g = gateDials(w) })
-			back := w.connectAnother()
+			w := startWith(t, 1, replacements, func(w *harness) { g = gateDials(w) })
+			restore := w.connectAnother()
 			id := w.sendRequest("page", 5000, "")
 			<-g.reached
 			if closes {
@@ -64,15 +64,16 @@
 				defer w.director.mu.Unlock()
 				return len(w.director.requests) == 0
 			})
-			back()
+			restore()
 			close(g.opened)
-			w.expectNothingElse("its client had left")
+			w.expectNothingElse("the client had left or cancelled")
 		}
 	}
 }
 
-// The writer checks last: a request whose client left after the order was given is not written.
-func TestGoneBeforeTheWriter(t *testing.T) {
+// The writer must check again whether the client has left: a request whose client left after the order was given must not be
+// written.
+func TestClientLeavesBeforeWrite(t *testing.T) {
 	w := start(t, 1)
 	r := w.bareRequest(time.Hour)
 	next := bareAttempt(r, "gone")
@@ -80,21 +81,21 @@
 	c := w.newDiallingConn(next)
 	close(r.clientGone)
 	if message, _, _ := c.nextMessage(); message != nil {
-		t.Errorf("%q is written", message)
+		t.Errorf("got message %q, want none", message)
 	}
 	w.expectEnding(r, NotSent)
 }
 
-// An attempt does not begin at a node that drains, restarts or goes while its connection is dialled. The request is served
-// elsewhere, or over a new connection.
-func TestDrainsDuringADial(t *testing.T) {
+// An attempt must not begin at a node that drains, restarts or is gone while the connection is being dialled. The request must be
+// served by another node or over a new connection.
+func TestNodeChangesDuringDial(t *testing.T) {
 	for name, change := range map[string]func(*discovery.Endpoint){
-		"drains":      func(endpoint *discovery.Endpoint) { endpoint.State = routing.Draining },
-		"goes":        func(endpoint *discovery.Endpoint) { endpoint.State = routing.Gone },
-		"starts anew": func(endpoint *discovery.Endpoint) { endpoint.StartedUnix = time.Now().UnixMilli() - 60000 },
+		"drains":   func(endpoint *discovery.Endpoint) { endpoint.State = routing.Draining },
+		"is gone":  func(endpoint *discovery.Endpoint) { endpoint.State = routing.Gone },
+		"restarts": func(endpoint *discovery.Endpoint) { endpoint.StartedUnix = time.Now().UnixMilli() - 60000 },
 	} {
 		var g *gate
-		w := startWith(t, 2, nil, func(w *world) { g = gateDials(w) })
+		w := startWith(t, 2, nil, func(w *harness) { g = gateDials(w) })
 		id := w.sendRequest("order", 5000, "x")
 		<-g.reached
 		w.director.pool.mu.Lock()
@@ -108,38 +109,38 @@
 		w.director.pool.mu.Unlock()
 		change(&endpoint)
 		w.applyNextEvent(discovery.Event{Endpoints: []discovery.Endpoint{endpoint}})
-		<-g.reached // elsewhere, or over a new connection
+		<-g.reached // to another node, or for a new connection
 		close(g.opened)
 		firstCommand := w.nextCommand("GET")
-		if firstCommand.node+1 == int(home) && name != "starts anew" {
-			t.Errorf("%s: the node received the request all the same", name)
+		if firstCommand.node+1 == int(home) && name != "restarts" {
+			t.Errorf("%s: the node received the request, want it at another node", name)
 		}
 		firstCommand.reply(t, "HIT", "-", "")
 		w.expectAnswer(id, "", "")
 		select {
 		case secondCommand := <-w.commands:
-			t.Errorf("%s: a node received a second request, %v", name, secondCommand)
+			t.Errorf("%s: node received a second request %v, want one", name, secondCommand)
 		default:
 		}
 	}
 }
 
-// The reader sees a cancellation behind answers that the client does not take, and behind useless messages.
-func TestCancelBehindOtherFaults(t *testing.T) {
-	t.Run("answers not taken", func(t *testing.T) {
+// The reader must read a cancellation also if the client does not read its answers, or after many useless messages.
+func TestCancellationFromFaultyClient(t *testing.T) {
+	t.Run("answers not read", func(t *testing.T) {
 		w := start(t, 1)
-		here, there := net.Pipe() // takes nothing that is not read
-		go newClientConn(w.director, here).read()
-		w.conn = there
+		directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
+		go newClientConn(w.director, directorConn).read()
+		w.conn = peerConn
 		w.write("\x94\x00\x09" + packText("alive") + "\x91\x80")
 		id := w.sendRequest("page", 8000, "")
 		command := w.nextCommand("GET")
 		w.write(cancellationText(id))
 		if drop := w.nextCommand("DROP"); drop.id != command.id {
-			t.Errorf("dropped %q", drop.id)
+			t.Errorf("node received a cancellation of %q, want one of its request", drop.id)
 		}
 	})
-	t.Run("messages of no use", func(t *testing.T) {
+	t.Run("useless messages", func(t *testing.T) {
 		w := start(t, 1)
 		id := w.sendRequest("page", 15000, "")
 		command := w.nextCommand("GET")
@@ -155,25 +156,25 @@
 		}
 		w.write(text + cancellationText(id))
 		if drop := w.nextCommand("DROP"); drop.id != command.id || time.Since(before) > time.Second {
-			t.Errorf("dropped %q after %v", drop.id, time.Since(before))
+			t.Errorf("node received a cancellation of %q after %v, want one of its request within 1s", drop.id, time.Since(before))
 		}
 	})
 }
 
-// The connection of a client that does not take an answer is closed after clientWriteTimeout, and not before.
-func TestAnswerNotTaken(t *testing.T) {
+// The connection of a client that does not read an answer must be closed after clientWriteTimeout, and not before.
+func TestClientThatDoesNotReadIsClosed(t *testing.T) {
 	t.Parallel()
 	w := start(t, 1)
-	here, there := net.Pipe() // takes nothing that is not read
-	c := newClientConn(w.director, here)
+	directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
+	c := newClientConn(w.director, directorConn)
 	go c.read()
-	w.conn = there
+	w.conn = peerConn
 	w.sendRequest("page", 15000, "")
 	w.sendRequest("page", 15000, "")
 	first := w.nextCommand("GET")
 	w.nextCommand("GET")
 	began := time.Now()
-	first.reply(t, "HIT", "-", "taken by nobody")
+	first.reply(t, "HIT", "-", "not read by the client")
 	closed := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -183,18 +184,18 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if took := time.Since(began); !closed() || took < clientWriteTimeout {
-		t.Fatalf("closed: %v after %v; want true after %v", closed(), took, clientWriteTimeout)
+		t.Fatalf("closed: got %v after %v, want true after %v", closed(), took, clientWriteTimeout)
 	}
-	if _, err := there.Write([]byte{0}); err == nil {
-		t.Error("the closed connection takes bytes")
+	if _, err := peerConn.Write([]byte{0}); err == nil {
+		t.Error("a write to the closed connection succeeded, want an error")
 	}
 }
 
-// The connection of a client that sends only useless messages ends after maxUselessInRow, once they are answered. Other
-// clients are served.
+// The connection of a client that sends only useless messages must end after maxUselessInRow of them, once they are answered.
+// Other clients must still be served.
 func TestOnlyUselessMessages(t *testing.T) {
 	w := start(t, 1)
-	back := w.connectAnother()
+	restore := w.connectAnother()
 	text := ""
 	for range 2 * maxUselessInRow {
 		_, call := w.requestText("nothing of ours", 5000, "")
@@ -207,60 +208,60 @@
 			break
 		}
 		if _, word, _ := w.readAnswer(); word != "Fault" && word != "Shed" {
-			t.Fatalf("answer %d: %q", answers, word)
+			t.Fatalf("answer %d: got %q, want Fault or Shed", answers, word)
 		}
 	}
 	if answers < maxUselessInRow || answers > maxUselessInRow+maxOpenPerClient+1 {
 		t.Errorf("got %d answers, want %d to %d", answers, maxUselessInRow, maxUselessInRow+maxOpenPerClient+1)
 	}
-	back()
-	w.expectServed("page", "", "-", "to another")
+	restore()
+	w.expectServed("page", "", "-", "to another client")
 }
 
 // expectNoBytes checks that a node receives no byte of a request within the given time.
-func expectNoBytes(t *testing.T, there net.Conn, in *bufio.Reader, within time.Duration) {
+func expectNoBytes(t *testing.T, peerConn net.Conn, in *bufio.Reader, within time.Duration) {
 	t.Helper()
-	there.SetReadDeadline(time.Now().Add(within))
+	peerConn.SetReadDeadline(time.Now().Add(within))
 	if _, err := in.Peek(1); err == nil || err != io.EOF && !errors.Is(err, os.ErrDeadlineExceeded) {
 		command, _ := readNodeCommand(in)
-		t.Errorf("a node received %v, %v", command, err)
+		t.Errorf("node received %v, %v; want no byte", command, err)
 	}
 }
 
-// No byte leaves of requests whose client leaves while they wait behind a full send buffer, even of the first one, for which
-// the writer already waits.
-func TestGoneBehindAFullSendBuffer(t *testing.T) {
+// If a client leaves while its requests wait for a full send buffer, no byte of them may be written, not even of the first one, for
+// which the writer is already waiting.
+func TestClientLeavesWithFullSendBuffer(t *testing.T) {
 	for _, closes := range []bool{false, true} {
 		w, n := startFull(t)
 		first, second := w.sendRequest("page", 5000, ""), w.sendRequest("page", 5000, "")
-		there := n.there
+		peerConn := n.peerConn
 		time.Sleep(30 * time.Millisecond) // until the writer waits for the socket
 		if closes {
 			w.conn.Close()
 		} else {
 			w.write(cancellationText(first) + cancellationText(second))
 		}
-		time.Sleep(100 * time.Millisecond) // short enough that the attempts are not void for their age
-		in := bufio.NewReader(there)
+		time.Sleep(100 * time.Millisecond) // short enough that the orders do not expire
+		in := bufio.NewReader(peerConn)
 		if _, err := io.CopyN(io.Discard, in, int64(n.junk)); err != nil {
 			t.Fatal(err)
 		}
-		expectNoBytes(t, there, in, 200*time.Millisecond)
+		expectNoBytes(t, peerConn, in, 200*time.Millisecond)
 	}
 }
 
-// On a connection without a descriptor, an attempt whose write is blocked before its first byte is cancelled within the time
+// On a connection without a descriptor, an attempt whose write is blocked before its first byte must be cancelled within the time
 // in which it could still begin.
-func TestCancelledDuringABlockedWrite(t *testing.T) {
+func TestCancellationDuringBlockedWrite(t *testing.T) {
 	for want, cancel := range map[Ending]func(*attempt){
 		Cancelled: func(blocked *attempt) { blocked.cancel(Cancelled) },
 		NotSent:   (*attempt).cancelUnsent,
 	} {
 		w := start(t, 1)
-		here, there := net.Pipe() // takes nothing that is not read
+		directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
 		r := w.bareRequest(time.Hour)
 		blocked := bareAttempt(r, "blocked")
-		w.newWritingConn(blocked, here)
+		w.newWritingConn(blocked, directorConn)
 		w.waitUntil("being written", func() bool {
 			w.director.pool.mu.Lock()
 			defer w.director.pool.mu.Unlock()
@@ -269,15 +270,15 @@
 		cancel(blocked)
 		before := time.Now()
 		if ended := w.nextEnded(r); ended.ending != want || time.Since(before) > 100*time.Millisecond {
-			t.Errorf("ended as %v after %v, want %v within 100 ms", ended.ending, time.Since(before), want)
+			t.Errorf("ended as %v after %v, want %v within 100ms", ended.ending, time.Since(before), want)
 		}
-		expectNoBytes(t, there, bufio.NewReader(there), 100*time.Millisecond)
+		expectNoBytes(t, peerConn, bufio.NewReader(peerConn), 100*time.Millisecond)
 	}
 }
 
-// The process is paused while a request waits for the socket. During the pause the socket takes bytes again and the client
-// leaves. After the pause, the client's cancellation or end of stream is read before any attempt begins.
-func TestGoneDuringAPause(t *testing.T) {
+// The process is paused while a request waits for the socket. During the pause the socket becomes writable and the client leaves.
+// After the pause, the client's cancellation or end of stream must be read before the attempt begins.
+func TestClientLeavesDuringProcessPause(t *testing.T) {
 	octal := func(text string) (escaped string) {
 		for _, b := range []byte(text) {
 			escaped += fmt.Sprintf("\\%03o", b)
@@ -288,17 +289,17 @@
 		for range 6 {
 			w, n := startFull(t)
 			id := w.sendRequest("page", 5000, "")
-			there := n.there
+			peerConn := n.peerConn
 			w.awaitQueued(1)
 			leave := "printf '" + strings.ReplaceAll(octal(cancellationText(id)), "%", "%%") + "' >&4"
 			if closes {
 				leave = "exec 4>&-"
 			}
-			ours := file(t, w.conn)
+			clientFile := file(t, w.conn)
 			w.conn.Close()
-			pause(t, 0.12, fmt.Sprintf("%s; head -c %d <&3 >/dev/null", leave, n.junk), file(t, there), ours)
-			nonblocking(t, there)
-			expectNoBytes(t, there, bufio.NewReader(there), 150*time.Millisecond)
+			pause(t, 0.12, fmt.Sprintf("%s; head -c %d <&3 >/dev/null", leave, n.junk), file(t, peerConn), clientFile)
+			nonblocking(t, peerConn)
+			expectNoBytes(t, peerConn, bufio.NewReader(peerConn), 150*time.Millisecond)
 		}
 	}
 }
--- a/internal/director/health_check.go
+++ b/internal/director/health_check.go
@@ -14,14 +14,14 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// Health checks: those that routing orders, those that a director makes for other directors, and what it learns from theirs.
-// Each check has a connection of its own, as connections that carry requests may be stuck.
+// This file has the health checks that routing orders, those that are made for other directors, and the results received from
+// other directors. Each check uses a new connection, since connections that carry requests may be stuck.
 
-// Machine is a cache or parent that the endpoint list names as ready.
+// Machine is a cache or parent that the endpoint list has as ready.
 type Machine struct {
 	ID          uint32
 	StartedUnix int64 // Unix milliseconds of its start, as listed; 0: long ago
-	Parent      bool  // it is a parent, not a cache
+	Parent      bool  // whether it is a parent rather than a cache
 }
 
 // Machines returns the caches and parents that are ready, ordered by id.
@@ -38,28 +38,29 @@
 	return ready
 }
 
-// CheckMachine asks a machine whether it runs. Each step may take the time within. If class is an idempotent class, a cache
-// is also asked for the object, but only if it has it cached, so that nothing is filled. asked is false if no socket can be
-// spared, a fault of this host prevents the check, or no such machine is listed as ready.
-func (d *Director) CheckMachine(machine Machine, within time.Duration, class, object string) (alive, asked bool) {
+// CheckMachine checks whether a machine runs. Each step of the check may take the timeout. If class is an idempotent class and
+// the machine is a cache, the check also requests the object, with the option that it must be cached, so that no fill is
+// caused. checked is false if no socket can be spared, a fault of this host prevents the check, or the machine is not listed as
+// ready with the same start.
+func (d *Director) CheckMachine(machine Machine, timeout time.Duration, class, object string) (alive, checked bool) {
 	addr, ok := d.pool.takeSocketFor(machine)
 	if !ok {
 		return false, false
 	}
 	defer d.pool.returnSocket()
-	var small *resp.Request
+	var request *resp.Request
 	if !machine.Parent && d.isIdempotent(class) {
-		small = &resp.Request{
+		request = &resp.Request{
 			ID:      "probe" + strconv.FormatInt(d.clock.now().Nanoseconds(), 36),
 			Class:   class,
 			Object:  object,
 			Part:    "0",
-			Timeout: within,
+			Timeout: timeout,
 			Order:   routing.AttemptOrder{OnlyIfCached: true},
 		}
 	}
-	result, verdict := d.pool.ping(addr, within, small)
-	return verdict && result == routing.Served, verdict
+	result, conclusive := d.pool.ping(addr, timeout, request)
+	return conclusive && result == routing.Served, conclusive
 }
 
 // isIdempotent returns whether the configuration has a class of that name whose requests are idempotent.
@@ -68,8 +69,8 @@
 	return ok && d.config.Settings.Classes[index].Effect == routing.Idempotent
 }
 
-// PeerHealth reports to routing what another director saw of a machine. startedUnix is the machine's start as that director
-// knows it, and age how long ago it saw the machine.
+// PeerHealth passes another director's check of a machine on to routing. startedUnix is the machine's start as listed at that
+// director, and age is the time since its check.
 func (d *Director) PeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -92,8 +93,8 @@
 	return p.takeSpareSocket(known)
 }
 
-// checkHealth pings a node in a goroutine and reports the result: Served, ConnectFailed or TimedOut. It reports nothing if no
-// socket can be spared or a fault of this host prevents the check.
+// checkHealth pings a node in a goroutine and reports the result: Served, ConnectFailed or TimedOut. It reports nothing if the
+// node is not listed, no socket can be spared or a fault of this host prevents the check.
 func (p *connectionPool) checkHealth(id uint32, report func(routing.Result)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,9 +103,9 @@
 		return
 	}
 	go func() {
-		result, verdict := p.ping(addr, p.config.DialTimeout, nil)
+		result, conclusive := p.ping(addr, p.config.DialTimeout, nil)
 		p.returnSocket()
-		if verdict {
+		if conclusive {
 			report(result)
 		}
 	}()
@@ -113,13 +114,13 @@
 // pingID is the id of a PING in a health check.
 const pingID = "probe"
 
-var errOtherAnswer = errors.New("an answer to something else")
+var errUnexpectedAnswer = errors.New("the answer does not belong to the health check")
 
-// ping asks a node whether it runs. If small is given, it then sends that request, to which any answer will do. The dial, the
-// PING and the request may each take the time within. The result is Served, ConnectFailed or TimedOut. verdict is false if a
-// fault of this host prevented the check.
-func (p *connectionPool) ping(addr string, within time.Duration, small *resp.Request) (result routing.Result, verdict bool) {
-	socket, err := dialWithRetries(context.Background(), p.network, addr, within, within)
+// ping checks whether a node runs. It sends a PING and then, unless request is nil, that request, for which any answer counts as
+// a success. The dial, the PING and the request may each take the timeout. The result is Served, ConnectFailed or TimedOut.
+// conclusive is false if a fault of this host prevented the check.
+func (p *connectionPool) ping(addr string, timeout time.Duration, request *resp.Request) (result routing.Result, conclusive bool) {
+	socket, err := dialWithRetries(context.Background(), p.network, addr, timeout, timeout)
 	switch {
 	case err == nil:
 	case endingOfDial(err) == LocalFault:
@@ -130,7 +131,7 @@
 		return routing.TimedOut, true
 	}
 	defer socket.Close()
-	switch err := exchangePing(socket, within, small); {
+	switch err := exchangePing(socket, timeout, request); {
 	case err == nil:
 		return routing.Served, true
 	case isLocalFault(err):
@@ -139,26 +140,26 @@
 	return routing.TimedOut, true
 }
 
-// exchangePing sends a PING and reads its answer, then does the same with small if it is given.
-func exchangePing(socket net.Conn, within time.Duration, small *resp.Request) error {
+// exchangePing sends a PING and reads its answer, then does the same with the request unless it is nil.
+func exchangePing(socket net.Conn, timeout time.Duration, request *resp.Request) error {
 	answers := bufio.NewReader(uninterrupted{socket})
 	exchange := func(message []byte, id string) (response resp.Response, err error) {
-		socket.SetDeadline(time.Now().Add(within))
+		socket.SetDeadline(time.Now().Add(timeout))
 		if _, err = writeAll(socket, message); err != nil {
 			return response, err
 		}
 		response, err = resp.ReadResponse(answers)
 		if err == nil && response.ID != id {
-			err = errOtherAnswer
+			err = errUnexpectedAnswer
 		}
 		return response, err
 	}
 	response, err := exchange(resp.AppendHealthCheck(nil, pingID), pingID)
 	if err == nil && response.Status != resp.Pong {
-		err = errOtherAnswer
+		err = errUnexpectedAnswer
 	}
-	if err == nil && small != nil {
-		_, err = exchange(resp.AppendRequest(nil, small), small.ID)
+	if err == nil && request != nil {
+		_, err = exchange(resp.AppendRequest(nil, request), request.ID)
 	}
 	return err
 }
--- a/internal/director/helpers_test.go
+++ b/internal/director/helpers_test.go
@@ -21,14 +21,14 @@
 	"indigochute.example/indigochute/internal/discovery"
 )
 
-// testTimeout is how long a test waits for something that must happen; far longer than anything here takes.
+// testTimeout is how long a test waits for something that must happen. It is far longer than anything in these tests takes.
 const testTimeout = 10 * time.Second
 
 // nodeCommand is one command that a test node received.
 type nodeCommand struct {
 	word, id, fields, body string
 	conn                   net.Conn // the connection that it arrived on
-	node                   int      // index of the node in world.nodes
+	node                   int      // index of the node in harness.nodes
 }
 
 // reply answers the command.
@@ -43,35 +43,33 @@
 	}
 }
 
-// world is a director on loopback with everything around it: test nodes whose commands a test answers, a journal service, and
-// a client.
-type world struct {
+// harness is a director on loopback with its environment: nodes whose commands the test answers, a journal service and a client.
+type harness struct {
 	t        testing.TB
 	director *Director
-	commands chan nodeCommand   // the commands that the nodes received
+	commands chan nodeCommand   // commands that the nodes received
 	conn     net.Conn           // the client's connection
 	reader   *bufio.Reader      // reads from conn
 	nodes    []net.Listener     // the caches' listeners; the cache with index i has the id i+1
-	journal  net.Listener       // the journal service's listener, which only the test accepts from
-	stop     context.CancelFunc // sends the signal to shut down
-	served   chan struct{}      // closed when the director has ended
-	lastID   uint32             // the last id of a message and request
+	journal  net.Listener       // the journal service's listener; only the test accepts connections from it
+	stop     context.CancelFunc // sends the shutdown signal
+	served   chan struct{}      // closed once the director has ended
+	lastID   uint32             // the last id used for a message and its request
 	logged   logRecorder        // the director's log
 }
 
-// classesJSON has the request classes of the configuration: an idempotent one, one with an idempotency key and one that is not
-// idempotent.
+// classesJSON is the configuration's request classes: an idempotent one, one with idempotency keys and a non-idempotent one.
 const classesJSON = `[{"name":"page","aim":%[1]d,"deadline":%[1]d,"idempotency":"read_like","group":"all"},
  {"name":"log","aim":%[1]d,"deadline":%[1]d,"idempotency":"idempotency_key","group":"all","window":%[1]d},
  {"name":"order","aim":%[1]d,"deadline":%[1]d,"idempotency":"non_idempotent","group":"all"}]`
 
-// start starts a director with so many caches, and connects a client.
-func start(t testing.TB, caches int) *world { return startWith(t, caches, nil, nil) }
+// start starts a director with the given number of caches, and connects a client.
+func start(t testing.TB, caches int) *harness { return startWith(t, caches, nil, nil) }
 
-// startWith is start with texts of the configuration replaced, given as old and new in turn, and with the director prepared
-// before it serves.
-func startWith(t testing.TB, caches int, replacements []string, prepare func(*world)) *world {
-	w := &world{t: t, commands: make(chan nodeCommand, 100), journal: listen(t)}
+// startWith is start with replacements in the text of the configuration, given as old and new text in turn. It calls prepare
+// before the director serves.
+func startWith(t testing.TB, caches int, replacements []string, prepare func(*harness)) *harness {
+	w := &harness{t: t, commands: make(chan nodeCommand, 100), journal: listen(t)}
 	var hosts []string
 	for i := range caches {
 		listener := listen(t)
@@ -97,7 +95,7 @@
 	return w
 }
 
-// parseConfig returns the configuration of a director that knows the given nodes, with texts of it replaced.
+// parseConfig returns the configuration of a director with the given nodes, after replacements in its text.
 func parseConfig(t testing.TB, hosts []string, journal string, replacements []string) *config.Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:1","seed":"0000000000000007","journal":%[3]q,
@@ -138,8 +136,8 @@
 	return conn
 }
 
-// serveNode passes the commands that a node receives on to the test.
-func (w *world) serveNode(node int, listener net.Listener) {
+// serveNode forwards the commands that a node receives to the test.
+func (w *harness) serveNode(node int, listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -167,7 +165,7 @@
 		return nodeCommand{}, err
 	}
 	if n > len(words) {
-		return nodeCommand{}, fmt.Errorf("a command of %d words", n)
+		return nodeCommand{}, fmt.Errorf("command has %d words, want at most 4", n)
 	}
 	for i := range n {
 		var size int
@@ -183,17 +181,17 @@
 	return nodeCommand{word: words[0], id: words[1], fields: words[2], body: words[3]}, nil
 }
 
-// nextCommand returns the next command that a node received, which must be the given one.
-func (w *world) nextCommand(word string) nodeCommand {
+// nextCommand returns the next command that a node received, and fails the test if it is not the given one.
+func (w *harness) nextCommand(word string) nodeCommand {
 	w.t.Helper()
 	select {
 	case command := <-w.commands:
 		if command.word != word {
-			w.t.Fatalf("a node received %v, want %s", command, word)
+			w.t.Fatalf("node received %v, want %s", command, word)
 		}
 		return command
 	case <-time.After(testTimeout):
-		w.t.Fatalf("no node received a %s", word)
+		w.t.Fatalf("no node received a command, want %s", word)
 	}
 	return nodeCommand{}
 }
@@ -203,16 +201,16 @@
 	return "\xda" + string(binary.BigEndian.AppendUint16(nil, uint16(len(s)))) + s
 }
 
-// sendRequest writes a request and returns its message id. The timeout is in milliseconds. more holds further fields, key and
+// sendRequest writes a request and returns its message id. The timeout is in milliseconds. more has further fields, as key and
 // value in turn, which override the default ones.
-func (w *world) sendRequest(vhost string, timeout int, body string, more ...string) uint32 {
+func (w *harness) sendRequest(vhost string, timeout int, body string, more ...string) uint32 {
 	id, b := w.requestText(vhost, timeout, body, more...)
 	w.write(b)
 	return id
 }
 
 // requestText encodes a request as sendRequest does, and returns its message id and the text.
-func (w *world) requestText(vhost string, timeout int, body string, more ...string) (uint32, string) {
+func (w *harness) requestText(vhost string, timeout int, body string, more ...string) (uint32, string) {
 	w.lastID++ // serves as the message id and as the request id
 	fields := append([]string{"i", fmt.Sprintf("%016x", w.lastID), "d", strconv.Itoa(timeout), "o", "00000000000000a1",
 		"n", "2", "shard", "3"}, more...)
@@ -226,20 +224,20 @@
 }
 
 // write writes to the client's connection.
-func (w *world) write(text string) {
+func (w *harness) write(text string) {
 	w.t.Helper()
 	if _, err := io.WriteString(w.conn, text); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-// readAnswer reads one answer. It returns the message id, the word of its error or "", and the body or the fields of the
+// readAnswer reads one answer. It returns the message id, the name of the error or "", and the body or the fields of the
 // error.
-func (w *world) readAnswer() (id uint32, word, body string) {
+func (w *harness) readAnswer() (id uint32, word, body string) {
 	w.t.Helper()
 	head := w.readBytes(8)
 	if !bytes.HasPrefix(head, []byte("\x94\x01\xce")) {
-		w.t.Fatalf("an answer begins with %x", head)
+		w.t.Fatalf("got an answer that begins with %x, want 9401ce", head)
 	}
 	id = binary.BigEndian.Uint32(head[3:])
 	if isError := head[7] == 0x92; isError {
@@ -254,8 +252,8 @@
 	return id, "", body
 }
 
-// readError reads the rest of an answer that is an error: its word, and its fields as one text.
-func (w *world) readError() (word, fields string) {
+// readError reads the rest of an answer that is an error: the name of the error, and its fields as one text.
+func (w *harness) readError() (word, fields string) {
 	w.t.Helper()
 	word = string(w.readBytes(int(w.readBytes(1)[0] & 0x1f)))
 	for range 2 * (w.readBytes(1)[0] & 0x0f) {
@@ -272,7 +270,7 @@
 }
 
 // readBytes reads n bytes from the client's connection.
-func (w *world) readBytes(n int) []byte {
+func (w *harness) readBytes(n int) []byte {
 	w.t.Helper()
 	b := make([]byte, n)
 	if _, err := io.ReadFull(w.reader, b); err != nil {
@@ -282,7 +280,7 @@
 }
 
 // expectServed sends a request, has the node answer it, and checks the client's answer. It returns the command to the node.
-func (w *world) expectServed(vhost, body, fields, answer string) nodeCommand {
+func (w *harness) expectServed(vhost, body, fields, answer string) nodeCommand {
 	w.t.Helper()
 	id := w.sendRequest(vhost, 5000, body, "k", "7")
 	command := w.nextCommand("GET")
@@ -292,14 +290,14 @@
 }
 
 // expectAnswer checks the next answer to the client.
-func (w *world) expectAnswer(id uint32, word, body string) {
+func (w *harness) expectAnswer(id uint32, word, body string) {
 	w.t.Helper()
 	if gotID, gotWord, gotBody := w.readAnswer(); gotID != id || gotWord != word || gotBody != body {
 		w.t.Fatalf("got answer to %d: %q, %d bytes; want answer to %d: %q, %d bytes", gotID, gotWord, len(gotBody), id, word, len(body))
 	}
 }
 
-// logRecorder is a log output that keeps the text.
+// logRecorder is a log output that records the text.
 type logRecorder struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -312,62 +310,62 @@
 }
 
 // count returns how often a text was logged.
-func (l *logRecorder) count(of string) int {
+func (l *logRecorder) count(part string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return strings.Count(l.text.String(), of)
+	return strings.Count(l.text.String(), part)
 }
 
 // waitUntil waits until a condition holds, and fails the test after testTimeout.
-func (w *world) waitUntil(what string, is func() bool) {
+func (w *harness) waitUntil(state string, reached func() bool) {
 	w.t.Helper()
-	for end := time.Now().Add(testTimeout); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !reached(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			w.t.Fatalf("still not %s after %v", what, testTimeout)
+			w.t.Fatalf("still not %s after %v", state, testTimeout)
 		}
 	}
 }
 
-// expectNothingElse sends a request that is served, and checks that nodes received nothing else before it or with it.
-func (w *world) expectNothingElse(why string) {
+// expectNothingElse sends a request that is served, and checks that nodes received no other command.
+func (w *harness) expectNothingElse(reason string) {
 	w.t.Helper()
 	id := w.sendRequest("page", 5000, "", "o", "00000000000000ff")
 	command := w.nextCommand("GET")
 	if command.id != fmt.Sprintf("%016x", id) {
-		w.t.Fatalf("%s: a node received %v", why, command)
+		w.t.Fatalf("%s: node received %v, want only the last request", reason, command)
 	}
 	command.reply(w.t, "HIT", "note=cached", "")
 	w.expectAnswer(id, "", "")
 	select {
 	case command := <-w.commands:
-		w.t.Fatalf("%s: a node received %v", why, command)
+		w.t.Fatalf("%s: node received %v, want only the last request", reason, command)
 	default:
 	}
 }
 
-// useConn makes another connection the client's. The function that it returns puts the earlier one back.
-func (w *world) useConn(conn net.Conn) (back func()) {
-	before, beforeIn := w.conn, w.reader
+// useConn makes another connection the client's. The returned function restores the previous one.
+func (w *harness) useConn(conn net.Conn) (restore func()) {
+	previous, previousReader := w.conn, w.reader
 	w.conn, w.reader = conn, bufio.NewReader(conn)
-	return func() { w.conn, w.reader = before, beforeIn }
+	return func() { w.conn, w.reader = previous, previousReader }
 }
 
 // connect makes a new connection the client's, as useConn does.
-func (w *world) connect(addr string) (back func()) { return w.useConn(dial(w.t, addr)) }
+func (w *harness) connect(addr string) (restore func()) { return w.useConn(dial(w.t, addr)) }
 
 // connectAnother makes a second connection to the same director the client's, as useConn does.
-func (w *world) connectAnother() (back func()) { return w.connect(w.conn.RemoteAddr().String()) }
+func (w *harness) connectAnother() (restore func()) { return w.connect(w.conn.RemoteAddr().String()) }
 
 // gate is a Network that blocks dials to nodes until it is opened.
 type gate struct {
 	systemNetwork
 	journal string        // address of the journal service; dials to it are not blocked
-	reached chan struct{} // has an item for each dial that was blocked
-	opened  chan struct{} // closed by the test to let the dials go on
+	reached chan struct{} // receives an item for each dial that is blocked
+	opened  chan struct{} // closed by the test to let the dials continue
 }
 
 // gateDials makes the director dial through a new gate.
-func gateDials(w *world) *gate {
+func gateDials(w *harness) *gate {
 	g := &gate{journal: w.journal.Addr().String(), reached: make(chan struct{}, 100), opened: make(chan struct{})}
 	w.director.UseNetwork(g)
 	return g
@@ -381,18 +379,18 @@
 	return g.systemNetwork.DialContext(ctx, network, address)
 }
 
-// acceptPair connects to a listener. It returns the accepted side, for the director, and the client's side.
-func (w *world) acceptPair(listener net.Listener) (*net.TCPConn, net.Conn) {
-	there := dial(w.t, listener.Addr().String())
-	here, err := listener.Accept()
+// acceptPair connects to a listener. It returns the accepted connection, for the director, and its other end, for the peer.
+func (w *harness) acceptPair(listener net.Listener) (*net.TCPConn, net.Conn) {
+	peerConn := dial(w.t, listener.Addr().String())
+	directorConn, err := listener.Accept()
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return here.(*net.TCPConn), there
+	return directorConn.(*net.TCPConn), peerConn
 }
 
 // serveOn makes the director serve on a listener until the context ends. The channel is closed once it has ended.
-func (w *world) serveOn(ctx context.Context, listener net.Listener) (ended chan struct{}) {
+func (w *harness) serveOn(ctx context.Context, listener net.Listener) (ended chan struct{}) {
 	ended = make(chan struct{})
 	go func() {
 		w.director.serve(ctx, listener)
@@ -402,7 +400,7 @@
 }
 
 // awaitEnd waits until the director has ended.
-func (w *world) awaitEnd(ended <-chan struct{}) {
+func (w *harness) awaitEnd(ended <-chan struct{}) {
 	w.t.Helper()
 	select {
 	case <-ended:
@@ -412,7 +410,7 @@
 }
 
 // applyNextEvent makes the director apply an event as the next one of the current watch.
-func (w *world) applyNextEvent(event discovery.Event) {
+func (w *harness) applyNextEvent(event discovery.Event) {
 	w.t.Helper()
 	w.director.mu.Lock()
 	event.Number = w.director.lastEvent + 1
@@ -423,8 +421,8 @@
 	}
 }
 
-// untilEvent waits until the director has applied an event.
-func (w *world) waitForEvent(number uint64) {
+// waitForEvent waits until the director has applied an event.
+func (w *harness) waitForEvent(number uint64) {
 	w.t.Helper()
 	w.waitUntil(fmt.Sprintf("at event %d", number), func() bool {
 		w.director.mu.Lock()
@@ -433,8 +431,8 @@
 	})
 }
 
-// bareRequest returns a request that no client sent and that routing does not know. The test starts its attempts itself.
-func (w *world) bareRequest(deadline time.Duration) *request {
+// bareRequest returns a request that no client sent and that is not registered at routing. The test starts its attempts itself.
+func (w *harness) bareRequest(deadline time.Duration) *request {
 	return &request{
 		director:    w.director,
 		client:      &clientConn{},
@@ -451,8 +449,8 @@
 	return next
 }
 
-// newDiallingConn returns a connection to the first node that carries an attempt and is not established yet.
-func (w *world) newDiallingConn(next *attempt) *nodeConn {
+// newDiallingConn returns a connection to the first node that has an attempt queued and is not established yet.
+func (w *harness) newDiallingConn(next *attempt) *nodeConn {
 	w.director.pool.mu.Lock()
 	defer w.director.pool.mu.Unlock()
 	conn := w.director.pool.open(w.director.pool.byID[1])
@@ -460,16 +458,16 @@
 	return conn
 }
 
-// newWritingConn returns an established connection to the first node, whose writer writes an attempt.
-func (w *world) newWritingConn(next *attempt, here net.Conn) *nodeConn {
+// newWritingConn returns an established connection to the first node whose writer is running and has an attempt queued.
+func (w *harness) newWritingConn(next *attempt, directorConn net.Conn) *nodeConn {
 	conn := w.newDiallingConn(next)
-	conn.established(here, nil)
-	go conn.write(here)
+	conn.established(directorConn, nil)
+	go conn.write(directorConn)
 	return conn
 }
 
-// closeRecorder records how many bytes lay unread when a connection was closed. A close over unread bytes loses answers that
-// are on their way.
+// closeRecorder records how many bytes were unread when a connection was closed. Closing a socket with unread bytes loses
+// answers in transit.
 type closeRecorder struct {
 	*net.TCPConn
 	unread chan int
@@ -493,8 +491,8 @@
 	return "\x93\x02" + packText("cancelRequest") + "\x91\xce" + string(binary.BigEndian.AppendUint32(nil, id))
 }
 
-// nextEnded returns the next attempt of a request that ends.
-func (w *world) nextEnded(r *request) *attempt {
+// nextEnded waits for the next attempt of a request to end, and returns it.
+func (w *harness) nextEnded(r *request) *attempt {
 	w.t.Helper()
 	select {
 	case ended := <-r.attemptEnds:
@@ -505,8 +503,8 @@
 	return nil
 }
 
-// expectEnding checks how the next attempt of a request that ends has ended, and returns it.
-func (w *world) expectEnding(r *request, want Ending) *attempt {
+// expectEnding waits for the next attempt of a request to end, checks its ending and returns it.
+func (w *harness) expectEnding(r *request, want Ending) *attempt {
 	w.t.Helper()
 	ended := w.nextEnded(r)
 	if ended.ending != want {
--- a/internal/director/listener.go
+++ b/internal/director/listener.go
@@ -9,25 +9,26 @@
 	"time"
 )
 
-// The listener: how it is opened, and how client connections are accepted despite faults of the host.
+// This file opens the listener and accepts client connections, with retries after faults of this host.
 
 const (
-	// listenTimeout is how long the director tries to listen at its start while a fault of this host prevents it.
+	// listenTimeout is how long the director retries to open its listener at the start if a fault of this host prevents it.
 	listenTimeout = time.Second
-	// maxAcceptBackoff is the longest wait before the next try after accept failed.
+	// maxAcceptBackoff is the longest wait between a failed accept and the next one.
 	maxAcceptBackoff = 100 * time.Millisecond
-	// maxAbortedInRow is how many aborted connections in a row are each followed by the next try at once, without a backoff.
+	// maxAbortedInRow is how many aborted connections in a row are retried immediately, without a backoff.
 	maxAbortedInRow = 16
-	// acceptCloseTimeout is how long, at shutdown, accepting goes on despite faults for connections that came in time.
+	// acceptCloseTimeout is how long accepting is retried after the first fault during shutdown, so that connections that
+	// arrived before the listener was stopped are still accepted.
 	acceptCloseTimeout = 50 * time.Millisecond
 )
 
-// listen opens the director's listener. While a fault of this host prevents it, it tries again until listenTimeout.
+// listen opens the director's listener. If a fault of this host prevents that, it retries until listenTimeout.
 func (d *Director) listen(ctx context.Context) (net.Listener, error) {
 	end := time.Now().Add(listenTimeout)
 	for wait := newBackoff(); ; {
 		listener, err := d.network.Listen(d.config.Listen.String())
-		if err == nil || !mayPass(err) || time.Now().After(end) {
+		if err == nil || !isTransientListenFault(err) || time.Now().After(end) {
 			return listener, err
 		}
 		select {
@@ -38,8 +39,11 @@
 	}
 }
 
-// mayPass returns whether a failure to listen may pass by itself. An address in use does not, as another program has it.
-func mayPass(err error) bool { return isLocalFault(err) && !errors.Is(err, syscall.EADDRINUSE) }
+// isTransientListenFault returns whether a failure to listen may resolve by itself. An address in use counts as permanent,
+// since another program holds it.
+func isTransientListenFault(err error) bool {
+	return isLocalFault(err) && !errors.Is(err, syscall.EADDRINUSE)
+}
 
 // acceptor accepts client connections. It belongs to the goroutine that runs Director.accept.
 type acceptor struct {
@@ -47,15 +51,15 @@
 	listener  net.Listener
 	closing   <-chan struct{} // closed once the director takes no new connections
 	backoff   backoff
-	aborted   int              // connections in a row that broke before they were accepted
+	aborted   int              // number of connections in a row that were aborted before accept returned them
 	closeTime <-chan time.Time // fires acceptCloseTimeout after the first fault after closing; nil until that fault
 	queue     acceptQueue
 	backlog   acceptBacklog
 }
 
-// accept accepts clients until the listener is closed, or until its deadline passes while no connection waits. It does not
-// wait for a client to leave: an idle one makes room. Faults end it only once closing is closed and acceptCloseTimeout has
-// passed since the first fault after that.
+// accept accepts client connections until the listener is closed, or until the listener's deadline passes with no connection
+// waiting. If all places are taken, an idle connection is evicted, so that accept does not wait for a client to leave. Faults
+// end it only after closing is closed and acceptCloseTimeout has passed since the first fault after that.
 func (d *Director) accept(listener net.Listener, closing <-chan struct{}) {
 	defer listener.Close()
 	a := newAcceptor(d, listener, closing)
@@ -75,7 +79,7 @@
 	}
 }
 
-// newAcceptBackoff returns the backoff between tries to accept.
+// newAcceptBackoff returns the backoff between failed calls of accept.
 func newAcceptBackoff() backoff { return backoff{next: firstBackoff, limit: maxAcceptBackoff} }
 
 // acceptNext accepts one connection, or waits after a fault. It returns false once no more connections are accepted.
@@ -103,11 +107,11 @@
 	return a.pause()
 }
 
-// admit starts the reader of a connection if there is a place for it.
+// admit starts reading a connection if there is a place for it.
 func (a *acceptor) admit(socket net.Conn, waitedSince time.Duration) {
 	d := a.director
 	c := newClientConn(d, socket)
-	c.waitedSince(waitedSince)
+	c.setConnectedAt(waitedSince)
 	d.clients.awaitPlace()
 	if d.clients.admit(c, d.clock.now()) {
 		go c.read()
--- a/internal/director/log.go
+++ b/internal/director/log.go
@@ -7,14 +7,14 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Logging at a bounded rate.
+// This file has a rate-limited log.
 
 const (
 	connectionLogInterval = 200 * time.Millisecond // between lines about connections
-	acceptLogInterval     = time.Second            // between lines about faults of accepting, which may be permanent
+	acceptLogInterval     = time.Second            // between lines about errors of accept, which may be permanent
 )
 
-// rateLimitedLog writes log lines at a bounded rate. It guards against a log that grows with the number of connections.
+// rateLimitedLog writes log lines at a bounded rate, so that the size of the log does not grow with the number of connections.
 type rateLimitedLog struct {
 	log      *logrus.Entry
 	interval time.Duration // shortest time between two lines
@@ -25,7 +25,7 @@
 }
 
 // connection logs how a connection ended, if it ended in an unusual way or with requests open on it.
-func (l *rateLimitedLog) connection(what string, ending Ending, err error, open int) {
+func (l *rateLimitedLog) connection(message string, ending Ending, err error, open int) {
 	if open == 0 && (ending == Closed || ending == Stopped || ending == Broken) {
 		return
 	}
@@ -33,10 +33,10 @@
 	if err != nil {
 		entry = entry.WithError(err)
 	}
-	l.line(entry, what)
+	l.line(entry, message)
 }
 
-// line writes a line with the number of lines skipped before it. It skips the line if the last one was written less than
+// line writes a line with the number of lines skipped before it. It skips the line if the previous one was written less than
 // interval ago.
 func (l *rateLimitedLog) line(entry *logrus.Entry, message string) {
 	l.mu.Lock()
--- a/internal/director/network.go
+++ b/internal/director/network.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// The operating system's network, behind an interface that tests replace.
+// This file has the interface to the operating system's network, which tests replace.
 
 // Network is the interface between the director and the operating system's network. The director opens every listener and
-// every outgoing connection through it. Errors are those of package net. DialContext returns soon after its context ends.
+// every outgoing connection through it. Implementations return the errors of package net, and DialContext returns soon after
+// its context ends.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/director/network_test.go
+++ b/internal/director/network_test.go
@@ -11,7 +11,7 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// recordingNetwork is a Network that records every address that is listened at or dialled.
+// recordingNetwork is a Network that records every address that is listened on or dialled.
 type recordingNetwork struct {
 	systemNetwork
 	mu       sync.Mutex
@@ -33,32 +33,32 @@
 	return n.systemNetwork.DialContext(ctx, network, address)
 }
 
-// has returns whether an address was listened at or dialled.
+// has returns whether an address was listened on or dialled.
 func (n *recordingNetwork) has(address string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Contains(n.listened, address) || slices.Contains(n.dialled, address)
 }
 
-// The listener, the connections to nodes and to the journal service, and those of health checks are all made through the
-// Network.
-func TestNetworkMakesEveryConnection(t *testing.T) {
+// Guards against code that bypasses the Network: the listener and the connections to nodes, to the journal service and for
+// health checks must all be opened through it.
+func TestAllConnectionsUseNetwork(t *testing.T) {
 	n := &recordingNetwork{}
-	w := startWith(t, 2, nil, func(w *world) { w.director.UseNetwork(n) })
+	w := startWith(t, 2, nil, func(w *harness) { w.director.UseNetwork(n) })
 	home := w.expectServed("page", "", "-", "")
 	if address := w.nodes[home.node].Addr().String(); !n.has(address) {
-		t.Errorf("the node at %s was not dialled through it", address)
+		t.Errorf("the node at %s was not dialled through the Network", address)
 	}
 	w.waitUntil("journal service dialled", func() bool { return n.has(w.journal.Addr().String()) })
-	ended := make(chan routing.Result, 1)
-	w.director.pool.checkHealth(uint32(2-home.node), func(e routing.Result) { ended <- e })
+	results := make(chan routing.Result, 1)
+	w.director.pool.checkHealth(uint32(2-home.node), func(e routing.Result) { results <- e })
 	w.nextCommand("PING").reply(t, "PONG", "-", "")
-	if e := <-ended; e != routing.Served || !n.has(w.nodes[1-home.node].Addr().String()) {
-		t.Errorf("the health check ended as %d, or was not dialled through it", e)
+	if e := <-results; e != routing.Served || !n.has(w.nodes[1-home.node].Addr().String()) {
+		t.Errorf("health check: got result %d, want Served through the Network", e)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
 	if err := w.director.Run(ctx, make(chan os.Signal), nil); err != nil || !n.has("127.0.0.1:1") {
-		t.Errorf("not listened through it: %v", err)
+		t.Errorf("Run returned %v or did not listen through the Network", err)
 	}
 }
