--- a/internal/director/node_conn.go
+++ b/internal/director/node_conn.go
@@ -10,18 +10,18 @@
 	"indigochute.example/indigochute/internal/resp"
 )
 
-// A connection to a node: its state, the attempts on it, how it begins and ends. node_reader.go reads answers, node_writer.go
-// writes requests, and pool.go chooses the connection of an attempt.
+// This file has a connection to a node: its state, the attempts on it, and how it is opened and closed. node_reader.go reads
+// answers, node_writer.go writes requests, and pool.go selects the connection of an attempt.
 
 const (
-	// stuckAfter is how long a message may stop halfway before the connection counts as stuck and gets no more attempts.
+	// stuckAfter is how long a message may be incomplete before the connection counts as stuck and gets no more attempts.
 	stuckAfter = 200 * time.Millisecond
-	// orderLifetime is how long an order may wait before it begins. After that it is void, as the endpoint list may have
-	// changed or a purge may have been received. It is shorter if the settings have a short grace: the shortest grace divided
-	// by orderLifetimeDivisor.
+	// orderLifetime is how long an order may wait until its attempt begins. After that the order is void, since the endpoint
+	// list may have changed or a purge may have been received. If the settings have a short grace, the lifetime is the
+	// shortest grace divided by orderLifetimeDivisor.
 	orderLifetime        = 300 * time.Millisecond
 	orderLifetimeDivisor = 3
-	// recentIDCount is how many ended attempts a connection remembers, as a second answer to them may still come.
+	// recentIDCount is how many ids of ended attempts a connection keeps, since a second answer to them may still arrive.
 	recentIDCount = 16
 )
 
@@ -34,24 +34,24 @@
 	socket       net.Conn // nil until the dial succeeds; the dial already counts as one of the pool's sockets
 	dialContext  context.Context
 	cancelDial   context.CancelFunc
-	open         map[string]*attempt   // by request id: attempts that have not ended; after the end, those that the writer ends
+	open         map[string]*attempt   // attempts that have not ended, by request id; after the connection's end, those that the writer ends
 	recentIDs    [recentIDCount]string // request ids of the attempts that ended last, a ring buffer
-	nextRecentID int                   // how many ids were put into recentIDs
-	queue        []outgoing            // messages to be written, the next one first
+	nextRecentID int                   // number of ids written to recentIDs so far
+	queue        []outgoing            // messages that wait to be written, the next one first
 	wake         chan struct{}         // wakes the writer to check the queue and the state
-	lastUsed     time.Duration         // when the last attempt on it ended, or when it came up
-	lastAnswer   time.Duration         // when the last answer arrived, or when it came up
-	writingSince time.Duration         // since when a message is being written or waits for that; 0: none
-	readingSince time.Duration         // since when an answer is being received; 0: none
+	lastUsed     time.Duration         // when the last attempt on it ended, or when it was established
+	lastAnswer   time.Duration         // when the last answer arrived, or when it was established
+	writingSince time.Duration         // since when a message has been waiting or being written; 0: none
+	readingSince time.Duration         // since when an answer has been arriving; 0: none
 }
 
-// nodeConnState is the state of a connection. It only rises, in advance.
+// nodeConnState is the state of a connection. It only increases, in advance.
 type nodeConnState uint8
 
 const (
 	nodeConnDialling nodeConnState = iota
 	nodeConnUp
-	nodeConnRetired // takes no more attempts, and ends with its last one
+	nodeConnRetired // accepts no more attempts, and ends with its last one
 	nodeConnEnded
 )
 
@@ -62,7 +62,7 @@
 	reason       Ending // how a cancelled attempt ends
 }
 
-// advance is the only place where the state changes.
+// advance raises the state; it never lowers it. No other function changes the state.
 func (c *nodeConn) advance(to nodeConnState) { c.state = max(c.state, to) }
 
 // isBusy returns whether the connection carries attempts. Called under the pool's mutex.
@@ -81,7 +81,7 @@
 	return c.hasEndedLocked()
 }
 
-// run dials, then serves the connection until it ends.
+// run dials, then reads and writes the connection until it ends.
 func (c *nodeConn) run(addr netip.AddrPort) {
 	socket, err := dialWithRetries(c.dialContext, c.pool.network, addr.String(), c.pool.config.DialTimeout, c.pool.orderLifetime)
 	if !c.established(socket, err) {
@@ -91,8 +91,8 @@
 	c.write(socket)
 }
 
-// established records the result of the dial, and returns whether the connection is up. A connection that ended during the
-// dial returns its socket to the pool only now.
+// established records the result of the dial, and returns whether the connection is established. A connection that ended
+// during the dial returns its socket to the pool only now.
 func (c *nodeConn) established(socket net.Conn, err error) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -109,7 +109,7 @@
 	return false
 }
 
-// enqueueAttempt puts an attempt on the connection.
+// enqueueAttempt queues an attempt on the connection.
 func (c *nodeConn) enqueueAttempt(next *attempt) {
 	next.conn = c
 	c.open[next.command.ID] = next
@@ -130,8 +130,8 @@
 	}
 }
 
-// cancel cancels an attempt. If some of it may have left, it queues a cancellation for the node. An answer that is already on
-// its way is ignored later, as no attempt is open under its id.
+// cancel cancels an attempt. If some of its bytes may have been written, it queues a cancellation for the node. An answer that
+// still arrives is ignored, since no attempt is open under its id.
 func (c *nodeConn) cancel(open *attempt, reason Ending) {
 	if !open.hasBegun() {
 		c.finishAttempt(open, reason)
@@ -141,12 +141,12 @@
 		return
 	}
 	now := c.pool.clock.now()
-	if c.isWriteStuck(now) { // the node takes no bytes, so it would not take the cancellation either
+	if c.isWriteStuck(now) { // the node reads nothing, so it would not read the cancellation either
 		c.end(Stalled, nil)
 		return
 	}
 	c.enqueue(outgoing{attempt: open, cancellation: true, reason: reason})
-	// A node that was silent for so long may be unreachable. An open connection never shows that; a new dial does.
+	// A node that has been silent for so long may be unreachable. An idle connection does not show that, but a new dial does.
 	silentSince := max(open.writtenAt, c.lastAnswer)
 	if now-silentSince > c.pool.config.DialTimeout {
 		c.retire()
@@ -172,7 +172,7 @@
 	}
 }
 
-// retire makes the connection take no more attempts. It ends with its last attempt, or at once if it has none.
+// retire makes the connection accept no more attempts. It ends with its last attempt, or immediately if it has none.
 func (c *nodeConn) retire() {
 	c.advance(nodeConnRetired)
 	if len(c.open) == 0 {
@@ -180,11 +180,11 @@
 	}
 }
 
-// isStuck returns whether the node has stopped halfway through a message, in either direction, so that other messages would
-// wait behind it.
+// isStuck returns whether a message has been incomplete for too long in either direction, so that other messages would wait
+// behind it.
 func (c *nodeConn) isStuck(now time.Duration) bool { return c.isWriteStuck(now) || c.isReadStuck(now) }
 
-// isWriteStuck returns whether a message has waited for the node to take it for longer than stuckAfter.
+// isWriteStuck returns whether a message has been waiting or being written for longer than stuckAfter.
 func (c *nodeConn) isWriteStuck(now time.Duration) bool {
 	return c.writingSince > 0 && now-c.writingSince > stuckAfter
 }
@@ -194,8 +194,8 @@
 	return c.readingSince > 0 && now-c.readingSince > stuckAfter
 }
 
-// handleResponse ends the attempt that an answer belongs to. It ignores an answer to no open attempt: a second copy, one that
-// nobody asked for, or one to an attempt that was cancelled.
+// handleResponse ends the attempt that an answer belongs to. It ignores an answer that belongs to no open attempt: a duplicate,
+// an unsolicited answer, or an answer to a cancelled attempt.
 func (c *nodeConn) handleResponse(response resp.Response) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -207,7 +207,7 @@
 	}
 	ending := endingOfStatus(response.Status)
 	switch {
-	case ending == AnsweredNotModified && answered.command.ETag == "": // there is no copy that could be valid
+	case ending == AnsweredNotModified && answered.command.ETag == "": // the request named no copy that could be valid
 		ending = AnsweredFault
 	case !answered.request.reserveBody(len(response.Body)):
 		ending, response.Body = NoMemory, nil
@@ -225,8 +225,8 @@
 	c.end(ending, err)
 }
 
-// end ends the connection and the attempts on it. It leaves attempts that are being written to the writer: only the writer
-// knows whether the node has them completely and may execute them. Later calls do nothing.
+// end ends the connection and the attempts on it, except attempts that are being written. The writer ends those, since only the
+// writer can determine whether they were written completely, so that the node may execute them. Later calls do nothing.
 func (c *nodeConn) end(ending Ending, err error) {
 	if c.hasEndedLocked() {
 		return
@@ -239,14 +239,14 @@
 	}
 	c.node.conns = slices.DeleteFunc(c.node.conns, func(other *nodeConn) bool { return other == c })
 	for _, item := range c.queue {
-		if item.cancellation { // the close notifies the node
+		if item.cancellation { // closing the connection has the same effect at the node
 			item.attempt.finish(item.reason)
 		}
 	}
 	for _, open := range c.open {
 		c.endOpen(open, ending)
 	}
-	c.wakeWriter() // the writer ends as well
+	c.wakeWriter() // so that the writer returns
 	c.pool.log.connection("connection to "+c.node.addr.String(), ending, err, len(c.open))
 }
 
--- a/internal/director/node_conn_test.go
+++ b/internal/director/node_conn_test.go
@@ -13,8 +13,9 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// A refused connection proves that nothing was executed: even a non-idempotent request goes to another node.
-func TestRefusedConnection(t *testing.T) {
+// A refused connection proves that the request was not executed, so even a non-idempotent request must be retried at another
+// node.
+func TestRefusedConnectionRetriedElsewhere(t *testing.T) {
 	w := start(t, 2)
 	id := w.sendRequest("order", 5000, "x")
 	home := w.nextCommand("GET")
@@ -22,7 +23,7 @@
 	w.expectAnswer(id, "", "")
 	w.nodes[home.node].Close()
 	home.conn.Close()
-	for closed := false; !closed; time.Sleep(time.Millisecond) { // until the director has seen it
+	for closed := false; !closed; time.Sleep(time.Millisecond) { // until the director has removed the connection
 		w.director.pool.mu.Lock()
 		closed = len(w.director.pool.byID[uint32(home.node+1)].conns) == 0
 		w.director.pool.mu.Unlock()
@@ -30,15 +31,15 @@
 	w.expectServed("order", "x", "-", "")
 }
 
-// An unreadable answer of a node costs only the requests on its connection, and a request has a connection to itself while
-// there are sockets. An idempotent request is then sent again, also to the same node if that answers others.
-func TestOneUnreadableAnswer(t *testing.T) {
+// An unreadable answer of a node must affect only the requests on its connection, and each request must have its own connection
+// while sockets are left. An idempotent request must then be retried, also at the same node if that node answers other requests.
+func TestUnreadableAnswer(t *testing.T) {
 	w := start(t, 1)
 	w.expectServed("log", "", "-", "well")
 	first, second := w.sendRequest("log", 5000, "1", "k", "7"), w.sendRequest("log", 5000, "2", "k", "7")
 	firstCommand, secondCommand := w.nextCommand("GET"), w.nextCommand("GET")
 	if firstCommand.conn == secondCommand.conn {
-		t.Fatal("two requests on one connection")
+		t.Fatal("two requests on one connection, want one connection each")
 	}
 	if firstCommand.body == "2" {
 		firstCommand, secondCommand = secondCommand, firstCommand
@@ -47,7 +48,7 @@
 	io.WriteString(firstCommand.conn, "*4\r\n$noise")
 	again := w.nextCommand("GET")
 	if again.body != "1" || again.conn == firstCommand.conn {
-		t.Fatalf("%v follows a spoilt answer", again)
+		t.Fatalf("got %v after an unreadable answer, want the first request on another connection", again)
 	}
 	again.reply(t, "HIT", "-", "a")
 	w.expectAnswer(first, "", "a")
@@ -55,8 +56,8 @@
 	w.expectAnswer(second, "", "b")
 }
 
-// If an answer stops halfway, the connection ends and the request is retried long before the client timeout.
-func TestAnswerStops(t *testing.T) {
+// If a node stops within an answer, the connection must end and the request must be retried long before the client timeout.
+func TestRetryAfterIncompleteAnswer(t *testing.T) {
 	w := start(t, 2)
 	w.expectServed("page", "", "-", "well")
 	id := w.sendRequest("page", 15000, "")
@@ -65,8 +66,9 @@
 	w.expectAnswer(id, "", "again")
 }
 
-// After a cancelled attempt, the same request goes to that node over another connection.
-func TestSameRequestTwiceAtANode(t *testing.T) {
+// After a cancelled attempt, a retry at the same node must use another connection. Otherwise a late answer to the first attempt
+// could be mistaken for an answer to the second.
+func TestRetryUsesAnotherConnection(t *testing.T) {
 	w := start(t, 1)
 	r := w.bareRequest(time.Hour)
 	send := func() *attempt {
@@ -84,51 +86,52 @@
 	second := send()
 	secondCommand := w.nextCommand("GET")
 	if secondCommand.conn == firstCommand.conn {
-		t.Fatal("on the same connection")
+		t.Fatal("the second attempt is on the same connection, want another one")
 	}
 	firstCommand.reply(t, "HIT", "-", "to the first")
 	secondCommand.reply(t, "HIT", "-", "to the second")
 	if ended := w.nextEnded(r); ended != second || string(ended.response.Body) != "to the second" {
-		t.Error("the second attempt has the answer to the first")
+		t.Error("the second attempt ended with another answer than its own")
 	}
 }
 
-// If a node stops halfway through an answer, no other request waits behind it.
-func TestIncompleteAnswer(t *testing.T) {
+// If a node stops within an answer, no further request may be queued on that connection.
+func TestNoRequestBehindIncompleteAnswer(t *testing.T) {
 	w := start(t, 1)
 	w.sendRequest("page", 500, "")
 	firstCommand := w.nextCommand("GET")
 	io.WriteString(firstCommand.conn, "*4\r\n$16\r\n"+firstCommand.id+"\r\n$3\r\nHI")
 	if _, word, _ := w.readAnswer(); word != "Shed" {
-		t.Errorf("%q", word)
+		t.Errorf("got answer %q, want Shed", word)
 	}
 	w.nextCommand("DROP")
 	id := w.sendRequest("page", 5000, "")
 	secondCommand := w.nextCommand("GET")
 	if secondCommand.conn == firstCommand.conn {
-		t.Fatal("behind half an answer")
+		t.Fatal("the second request is on the connection with the incomplete answer, want another one")
 	}
 	secondCommand.reply(t, "HIT", "-", "whole")
 	w.expectAnswer(id, "", "whole")
 }
 
-// A request ends as PartlySent, which is never executed, if its connection ends or is stuck before it was completely written.
+// If the connection ends or gets stuck before a request was written completely, the attempt must end as PartlySent, which means
+// that it was never executed.
 func TestPartlySent(t *testing.T) {
 	for _, stuck := range []bool{false, true} {
 		w := start(t, 1)
-		here, there := net.Pipe()
+		directorConn, peerConn := net.Pipe()
 		r := w.bareRequest(time.Hour)
-		inPart := bareAttempt(r, "")
-		inPart.command.Body = make([]byte, 48000)
-		w.newWritingConn(inPart, here)
-		if _, err := io.ReadFull(there, make([]byte, 10)); err != nil {
+		partial := bareAttempt(r, "")
+		partial.command.Body = make([]byte, 48000)
+		w.newWritingConn(partial, directorConn)
+		if _, err := io.ReadFull(peerConn, make([]byte, 10)); err != nil {
 			t.Fatal(err)
 		}
 		if stuck {
 			time.Sleep(2 * stuckAfter) // a longer wait does no harm
-			inPart.cancel(Cancelled)
+			partial.cancel(Cancelled)
 		} else {
-			there.Close()
+			peerConn.Close()
 		}
 		if ended := w.nextEnded(r); ended.ending != PartlySent {
 			t.Errorf("stuck %v: ended as %v, want %v", stuck, ended.ending, PartlySent)
@@ -136,21 +139,21 @@
 	}
 }
 
-// An order that waited for too long is void, since it knows nothing of drains and purges applied meanwhile.
-func TestExpiredOrders(t *testing.T) {
+// An order that has waited for too long must be void, since drains and purges may have been applied after it was given.
+func TestOrderExpired(t *testing.T) {
 	w := start(t, 1)
 	r := w.bareRequest(time.Hour)
 	stale := bareAttempt(r, "")
 	stale.orderedAt -= 2 * orderLifetime
 	w.director.pool.sendAttempt(1, stale)
 	if ended := w.expectEnding(r, OrderExpired); ended != stale {
-		t.Error("another attempt ended")
+		t.Error("another attempt ended, want the stale one")
 	}
 }
 
-// A node that refuses connections, or on which none comes up, is dead or unreachable. One that resets a new connection may be
+// A node that refuses connections or to which dials time out is dead or unreachable. A node that resets a new connection may be
 // healthy.
-func TestEndingsOfDials(t *testing.T) {
+func TestEndingOfDial(t *testing.T) {
 	for err, want := range map[error]Ending{
 		syscall.ECONNREFUSED:   ConnectFailed,
 		syscall.EHOSTUNREACH:   ConnectFailed,
@@ -173,8 +176,9 @@
 	}
 }
 
-// Only an attempt that was never executed may be reported as such: a wrong entry in result lets an effect happen twice.
-func TestEndings(t *testing.T) {
+// Only an attempt that was never executed may be reported as such. With a wrong result, routing would retry a request that must
+// not be executed twice.
+func TestEndingResult(t *testing.T) {
 	neverExecuted := map[Ending]routing.Result{
 		ConnectFailed:     routing.ConnectFailed,
 		PartlySent:        routing.NotSent,
@@ -206,49 +210,50 @@
 			want, listed = maybeExecuted[ending]
 		}
 		if !listed {
-			t.Errorf("%v is in neither table", ending)
+			t.Errorf("%v is in neither table of the test", ending)
 		}
 		if got := ending.result(); got != want {
-			t.Errorf("%v is reported as %d, want %d", ending, got, want)
+			t.Errorf("%v: got result %d, want %d", ending, got, want)
 		}
 	}
 	if got, want := LocalFault.String(), "local fault"; got != want {
-		t.Errorf("name of LocalFault is %q, want %q", got, want)
+		t.Errorf("name of LocalFault: got %q, want %q", got, want)
 	}
 }
 
-// A health check distinguishes nodes that answer, are silent or refuse connections. It takes no socket that requests may need.
+// A health check must distinguish nodes that answer, are silent or refuse connections. It must not take a socket that is reserved
+// for requests.
 func TestHealthCheck(t *testing.T) {
 	w := start(t, 1)
 	w.director.pool.config.DialTimeout = 200 * time.Millisecond
-	ends := make(chan routing.Result, 1)
-	ask := func(id uint32) { w.director.pool.checkHealth(id, func(e routing.Result) { ends <- e }) }
-	ask(1)
+	results := make(chan routing.Result, 1)
+	check := func(id uint32) { w.director.pool.checkHealth(id, func(e routing.Result) { results <- e }) }
+	check(1)
 	w.nextCommand("PING").reply(t, "PONG", "-", "")
-	if e := <-ends; e != routing.Served {
-		t.Errorf("a node that answers: %v", e)
+	if e := <-results; e != routing.Served {
+		t.Errorf("node that answers: got %v, want Served", e)
 	}
-	ask(1)
+	check(1)
 	w.nextCommand("PING")
-	if e := <-ends; e != routing.TimedOut {
-		t.Errorf("a silent node: %v", e)
+	if e := <-results; e != routing.TimedOut {
+		t.Errorf("silent node: got %v, want TimedOut", e)
 	}
-	ask(0xaa)
-	if e := <-ends; e != routing.ConnectFailed {
-		t.Errorf("a dead node: %v", e)
+	check(0xaa)
+	if e := <-results; e != routing.ConnectFailed {
+		t.Errorf("dead node: got %v, want ConnectFailed", e)
 	}
 	w.director.pool.mu.Lock()
 	w.director.pool.socketsLeft = w.director.pool.socketsReserved
 	w.director.pool.mu.Unlock()
-	ask(1)
+	check(1)
 	select {
 	case command := <-w.commands:
-		t.Errorf("checked although no socket can be spared: %v", command)
+		t.Errorf("no spare socket: node received %v, want no health check", command)
 	case <-time.After(100 * time.Millisecond):
 	}
 }
 
-// pausedWrite is a connection whose Write passes the bytes on and then blocks until it is released.
+// pausedWrite is a connection whose Write writes the bytes and then blocks until it is released.
 type pausedWrite struct {
 	net.Conn
 	wrote, release chan struct{}
@@ -261,49 +266,49 @@
 	return n, err
 }
 
-// If a connection ends after the last byte of a request has left, but before the writer has recorded that, the attempt ends as
-// AnswerLost: the node has the request completely and may have executed it.
-func TestResetBehindTheLastByte(t *testing.T) {
+// If a connection ends after the last byte of a request was written, but before the writer has recorded that, the attempt must
+// end as AnswerLost, since the node has the complete request and may have executed it.
+func TestResetAfterLastByteWritten(t *testing.T) {
 	w := start(t, 1)
-	here, there := w.acceptPair(listen(t))
-	held := &pausedWrite{here, make(chan struct{}), make(chan struct{})}
+	directorConn, peerConn := w.acceptPair(listen(t))
+	paused := &pausedWrite{directorConn, make(chan struct{}), make(chan struct{})}
 	r := w.bareRequest(time.Hour)
 	next := bareAttempt(r, "whole")
 	next.command.Class, next.command.Timeout = "order", time.Second
-	c := w.newWritingConn(next, held)
-	<-held.wrote
-	there.Close()
-	c.read(held) // until it ends
+	c := w.newWritingConn(next, paused)
+	<-paused.wrote
+	peerConn.Close()
+	c.read(paused) // until the connection ends
 	select {
 	case ended := <-r.attemptEnds:
-		t.Errorf("ended as %v before its writer knows", ended.ending)
+		t.Errorf("ended as %v while the writer is blocked, want no end yet", ended.ending)
 	default:
 	}
-	close(held.release)
+	close(paused.release)
 	w.expectEnding(r, AnswerLost)
 }
 
-// An answer that is read just after its connection ended does not change how the attempt ended.
-func TestAnswerBehindTheEnd(t *testing.T) {
+// An answer that is read just after its connection ended must not change how the attempt ended.
+func TestAnswerAfterConnectionEnd(t *testing.T) {
 	w := start(t, 1)
-	here, _ := net.Pipe()
+	directorConn, _ := net.Pipe()
 	r := w.bareRequest(time.Hour)
 	c := w.newDiallingConn(bareAttempt(r, "crossing"))
-	c.established(here, nil)
+	c.established(directorConn, nil)
 	_, item, _ := c.nextMessage()
 	c.handleWritten(item, 1, 1, nil)
 	c.endNow(Broken, nil)
 	c.handleResponse(resp.Response{ID: "crossing", Status: resp.Hit, Body: []byte("late")})
 	if ended := w.expectEnding(r, AnswerLost); ended.response.Body != nil {
-		t.Errorf("ended with %q", ended.response.Body)
+		t.Errorf("got answer %q, want none", ended.response.Body)
 	}
 }
 
-// A dial keeps its socket until it has ended, even if its connection is retired before. So the number of sockets stays within
-// the bound.
-func TestDialsKeepTheirSocket(t *testing.T) {
+// A dial must count as a socket until it has ended, even if its connection is retired before. Otherwise the number of sockets
+// could exceed the bound.
+func TestDialCountsAsSocketUntilItEnds(t *testing.T) {
 	var g *gate
-	w := startWith(t, 1, nil, func(w *world) { g = gateDials(w) })
+	w := startWith(t, 1, nil, func(w *harness) { g = gateDials(w) })
 	s := w.director.pool
 	left := func() int {
 		s.mu.Lock()
@@ -314,41 +319,41 @@
 	w.sendRequest("page", 5000, "")
 	<-g.reached
 	w.applyNextEvent(discovery.Event{Endpoints: []discovery.Endpoint{{ID: 1, State: routing.Gone}}})
-	if _, word, _ := w.readAnswer(); word != "Shed" { // there is no other
-		t.Errorf("%q", word)
+	if _, word, _ := w.readAnswer(); word != "Shed" { // there is no other node
+		t.Errorf("got answer %q, want Shed", word)
 	}
 	if n := left(); n != all-1 {
-		t.Errorf("%d of %d sockets are free during the dial", n, all)
+		t.Errorf("during the dial: got %d of %d sockets free, want one less than all", n, all)
 	}
 	close(g.opened)
 	w.waitUntil("free again", func() bool { return left() == all })
 	time.Sleep(50 * time.Millisecond) // the socket must not be returned twice
 	if n := left(); n != all {
-		t.Errorf("%d of %d sockets are free", n, all)
+		t.Errorf("after the dial: got %d sockets free, want %d", n, all)
 	}
 }
 
-// With a short grace in the settings, an order whose first byte has not left within a third of that grace is void. That proves
-// that it was never executed.
-func TestFirstByteWithinTheGrace(t *testing.T) {
+// With a short grace in the settings, an order must be void if its first byte was not written within a third of that grace. The
+// attempt was then never executed.
+func TestOrderLifetimeWithShortGrace(t *testing.T) {
 	w := startWith(t, 1, []string{`"rules":{`, `"rules":{"drainGrace":240000,`}, nil)
 	if lifetime := w.director.pool.orderLifetime; lifetime != 80*time.Millisecond {
-		t.Errorf("lifetime of an order is %v, want 80 ms", lifetime)
+		t.Errorf("lifetime of an order: got %v, want 80ms", lifetime)
 	}
-	here, _ := net.Pipe()
+	directorConn, _ := net.Pipe()
 	r := w.bareRequest(time.Hour)
 	before := time.Now()
 	c := w.newDiallingConn(bareAttempt(r, ""))
-	c.established(here, nil)
-	c.write(here)
+	c.established(directorConn, nil)
+	c.write(directorConn)
 	w.expectEnding(r, OrderExpired)
 	if took := time.Since(before); took > time.Second {
-		t.Errorf("ended after %v", took)
+		t.Errorf("ended after %v, want at most 1s", took)
 	}
 }
 
-// An attempt that must begin before a certain time does not begin later, however long the dial takes.
-func TestNotBegunAfterItsWindow(t *testing.T) {
+// An attempt must not begin after its startBefore, however long the dial takes.
+func TestAttemptNotBegunAfterStartBefore(t *testing.T) {
 	w := start(t, 1)
 	r := w.bareRequest(time.Hour)
 	late := bareAttempt(r, "")
@@ -356,7 +361,7 @@
 	c := w.newDiallingConn(late)
 	w.waitUntil("over", func() bool { return w.director.clock.now() >= late.startBefore })
 	if message, _, _ := c.nextMessage(); message != nil {
-		t.Errorf("%q is written", message)
+		t.Errorf("got message %q after startBefore, want none", message)
 	}
 	w.expectEnding(r, OrderExpired)
 	inTime := bareAttempt(r, "")
@@ -365,13 +370,14 @@
 	c.enqueueAttempt(inTime)
 	w.director.pool.mu.Unlock()
 	if message, _, firstByteBy := c.nextMessage(); message == nil || !firstByteBy.After(time.Now()) {
-		t.Error("an attempt within its time is not written")
+		t.Error("attempt before its startBefore: got no message to write in time")
 	}
 }
 
-// A node closes an idle connection just as a non-idempotent request is put on it. If the end is read first, the request never
-// left and goes elsewhere. Otherwise it may have been executed, and fails. It is never sent twice.
-func TestIdleConnectionCloses(t *testing.T) {
+// A node closes an idle connection just as a non-idempotent request is queued on it. If the director reads the end of the stream
+// first, the request was not written and is retried elsewhere. Otherwise it may have been executed and must fail. It must never
+// be sent twice.
+func TestIdleConnectionClosedWhileQueueing(t *testing.T) {
 	w := start(t, 2)
 	home := w.expectServed("order", "x", "-", "")
 	s := w.director.pool
@@ -401,21 +407,21 @@
 	if served {
 		w.expectAnswer(id, "", "")
 	} else if gotID, word, _ := w.readAnswer(); gotID != id || word != "Fault" {
-		t.Errorf("%d %q", gotID, word)
+		t.Errorf("got answer to %d, %q; want Fault to the request", gotID, word)
 	}
-	w.expectNothingElse("it may have run or was served")
+	w.expectNothingElse("the request was served or may have been executed")
 }
 
-// heldObserver is an observer that blocks the goroutines of answered requests until it is closed.
-type heldObserver chan struct{}
+// blockingObserver is an observer that blocks the goroutines of answered requests until it is closed.
+type blockingObserver chan struct{}
 
-func (o heldObserver) RequestEnded(RequestRecord) { <-o }
+func (o blockingObserver) RequestEnded(RequestRecord) { <-o }
 
 // A client may use a request id again as soon as it has the answer, even if the request's goroutine has not ended.
-func TestIDAgainAtOnce(t *testing.T) {
-	held := make(heldObserver)
-	w := startWith(t, 1, nil, func(w *world) { w.director.Observe(held) })
-	t.Cleanup(func() { close(held) })
+func TestRequestIDReusedRightAfterAnswer(t *testing.T) {
+	observer := make(blockingObserver)
+	w := startWith(t, 1, nil, func(w *harness) { w.director.Observe(observer) })
+	t.Cleanup(func() { close(observer) })
 	for _, object := range []string{"00000000000000b1", "00000000000000b2"} {
 		id := w.sendRequest("page", 5000, "", "i", "00000000000000ee", "o", object)
 		w.nextCommand("GET").reply(t, "HIT", "-", object)
@@ -423,8 +429,9 @@
 	}
 }
 
-// If a client uses a request id again, a late second answer to the first request must not pass for an answer to the second.
-func TestIDAgainAfterItsEnd(t *testing.T) {
+// If a client uses a request id again, a late duplicate of the answer to the first request must not be taken for the answer to
+// the second.
+func TestRequestIDReusedWithDuplicateAnswer(t *testing.T) {
 	w := start(t, 1)
 	first := w.sendRequest("page", 5000, "", "i", "00000000000000ee")
 	firstCommand := w.nextCommand("GET")
@@ -434,7 +441,7 @@
 	secondCommand := w.nextCommand("GET")
 	firstCommand.reply(t, "HIT", "-", "to the first")
 	if secondCommand.conn == firstCommand.conn {
-		t.Error("on the connection that the first went over")
+		t.Error("the second request is on the connection of the first, want another one")
 	}
 	secondCommand.reply(t, "HIT", "-", "to the second")
 	w.expectAnswer(second, "", "to the second")
--- a/internal/director/node_reader.go
+++ b/internal/director/node_reader.go
@@ -10,11 +10,11 @@
 	"indigochute.example/indigochute/internal/resp"
 )
 
-// Reading answers from a node.
+// This file reads answers from a node.
 
 const (
 	answerTimeout      = 3 * time.Second        // from the first byte of an answer to its last
-	answerStallTimeout = 500 * time.Millisecond // between two reads within one answer
+	answerStallTimeout = 500 * time.Millisecond // longest time between two reads within one answer
 	nodeReadBuffer     = 16 << 10               // bytes
 )
 
@@ -23,8 +23,8 @@
 	answers := &answerReader{conn: c, socket: socket}
 	buffered := bufio.NewReaderSize(answers, nodeReadBuffer)
 	for {
-		answers.completeBy = time.Time{} // the node may be silent between answers without limit
-		buffered.Peek(1)                 // waits for the first byte; ReadResponse meets an error again
+		answers.completeBy = time.Time{} // no limit on the time between answers
+		buffered.Peek(1)                 // waits for the first byte; ReadResponse returns an error again
 		answers.completeBy = c.beginAnswer()
 		response, err := resp.ReadResponse(buffered)
 		if err != nil {
@@ -43,20 +43,20 @@
 	return time.Now().Add(answerTimeout)
 }
 
-// answerReader reads from a node's socket. It guards against a node that stops halfway through an answer: the answers behind
-// it would be lost as well.
+// answerReader reads from a node's socket and limits the time that an answer may be incomplete. If a node stops within an
+// answer, the answers behind it would be lost as well.
 type answerReader struct {
 	conn       *nodeConn
 	socket     net.Conn
-	completeBy time.Time // deadline of the answer being received; zero: none is
+	completeBy time.Time // deadline of the answer that is being received; zero: none is being received
 }
 
 // Read reads some bytes. It returns os.ErrDeadlineExceeded if the answer does not continue in time. After a stall of this
-// process it reads once more, since bytes may have come meanwhile that lie unread.
+// process it reads once more, since bytes may have arrived during the stall.
 func (r *answerReader) Read(b []byte) (int, error) {
 	deadline := r.completeBy
-	if stalled := time.Now().Add(answerStallTimeout); deadline.After(stalled) {
-		deadline = stalled
+	if nextReadBy := time.Now().Add(answerStallTimeout); deadline.After(nextReadBy) {
+		deadline = nextReadBy
 	}
 	r.socket.SetReadDeadline(deadline)
 	n, err := readSome(r.socket, b)
--- a/internal/director/node_socket.go
+++ b/internal/director/node_socket.go
@@ -11,16 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Writing one message to a node's socket within time limits, and waiting until the socket takes bytes.
+// This file writes a message to a node's socket within time limits, and waits until the socket accepts bytes.
 
-// maxUnsentBytes is the TCP_NOTSENT_LOWAT of sockets to nodes. The socket takes bytes only while fewer than this lie unsent
-// in the host's send buffer. So a message leaves at once and does not wait behind bytes that the node does not take.
+// maxUnsentBytes is the TCP_NOTSENT_LOWAT of sockets to nodes. The socket becomes writable only while fewer bytes than this are
+// unsent in the host's send buffer. So a message is sent immediately and does not wait behind bytes that the node does not read.
 const maxUnsentBytes = 1
 
-// writeMessage writes a message. Its first byte must leave before firstByteBy, each later one before lastByteBy, as the
-// process may have been paused since the message was made or since the first byte left. It returns os.ErrDeadlineExceeded if
-// the message did not leave in time. It checks the time just before each write: a write deadline that passed during a pause
-// has no effect until the runtime's timers run again.
+// writeMessage writes a message. Its first byte must be written before firstByteBy, each later one before lastByteBy, since the
+// process may be paused after the message was encoded or after the first byte was written. It returns os.ErrDeadlineExceeded if
+// the message was not written in time. It checks the time just before each write, because a write deadline that passed during a
+// pause has no effect until the runtime's timers run again.
 func writeMessage(socket net.Conn, message []byte, firstByteBy, lastByteBy time.Time) (n int, err error) {
 	for n < len(message) {
 		deadline := firstByteBy
@@ -35,7 +35,7 @@
 		n += written
 		switch {
 		case errors.Is(err, syscall.EINTR): // try again
-		case n > 0 && errors.Is(err, os.ErrDeadlineExceeded): // the rest may leave until lastByteBy
+		case n > 0 && errors.Is(err, os.ErrDeadlineExceeded): // the rest may be written until lastByteBy
 		case err != nil:
 			return n, err
 		case written == 0:
@@ -45,14 +45,14 @@
 	return n, nil
 }
 
-// writeWaiter waits until a socket takes bytes, so that a message is made only when it can leave at once. For a connection
-// that is not a socket it does not wait.
+// writeWaiter waits until a socket is writable, so that a message is encoded only when it can be sent immediately. For a
+// connection that is not a socket it does not wait.
 type writeWaiter struct {
 	raw syscall.RawConn // nil: the connection is not a socket
 }
 
-// newWriteWaiter returns the writeWaiter of a socket, and sets the socket's TCP_NOTSENT_LOWAT to maxUnsentBytes. A socket
-// that refuses the option works as well, but a message may then wait in its send buffer.
+// newWriteWaiter returns the writeWaiter of a socket, and sets the socket's TCP_NOTSENT_LOWAT to maxUnsentBytes. If the
+// option cannot be set, the socket still works, but messages may wait in its send buffer.
 func newWriteWaiter(conn net.Conn) writeWaiter {
 	socket, ok := conn.(syscall.Conn)
 	if !ok {
@@ -68,13 +68,13 @@
 	return writeWaiter{raw}
 }
 
-// wait returns nil once the socket takes bytes or has failed; the next write returns the failure. It returns
-// os.ErrDeadlineExceeded if neither happens within the time given.
-func (w writeWaiter) wait(socket net.Conn, within time.Duration) error {
+// wait returns nil once the socket is writable or has failed; the next write returns the failure. It returns
+// os.ErrDeadlineExceeded if neither happens within the timeout.
+func (w writeWaiter) wait(socket net.Conn, timeout time.Duration) error {
 	if w.raw == nil {
 		return nil
 	}
-	socket.SetWriteDeadline(time.Now().Add(within))
+	socket.SetWriteDeadline(time.Now().Add(timeout))
 	return w.raw.Write(func(descriptor uintptr) bool {
 		ready, err := pollNow(descriptor, unix.POLLOUT)
 		return ready || err != nil
--- a/internal/director/node_writer.go
+++ b/internal/director/node_writer.go
@@ -10,22 +10,24 @@
 	"indigochute.example/indigochute/internal/resp"
 )
 
-// Writing requests and cancellations to a node. A request names the time that the node has for it, counted from the arrival
-// of its last byte. So the message is made only when its bytes can leave. If they do not leave in time, the request is void.
+// This file writes requests and cancellations to a node. A request states the timeout that the node has for it, counted from the
+// arrival of its last byte. So the message is encoded only when the socket accepts bytes. If the bytes are not written in time,
+// the request is void.
 
 const (
-	// writeSlice bounds how long the first byte of a message may wait after the message was made. After that the message is
-	// made again, since its client has less time left or has gone. So the timeout that a node is given is at most writeSlice
-	// too long, a sixth of the slack that the protocol grants.
+	// writeSlice bounds the time from encoding a message to writing its first byte. After that the message is encoded again,
+	// since its client has less time left or may have left. So the timeout in a message is at most writeSlice too long, which
+	// is a sixth of the slack that the protocol allows.
 	writeSlice = 25 * time.Millisecond
-	// requestRestTimeout bounds the time from making a request until its last byte leaves. It is half of the slack, as the
-	// node counts its timeout from the complete request. A request that does not leave completely by then was never executed.
+	// requestRestTimeout bounds the time from encoding a request to writing its last byte. It is half of the slack, since the
+	// node counts its timeout from the arrival of the complete request. A request that is not written completely by then is
+	// never executed.
 	requestRestTimeout = 75 * time.Millisecond
-	// cancelRestTimeout is the same bound for a cancellation, which names no timeout that could pass.
+	// cancelRestTimeout is the same bound for a cancellation, which has no timeout that could pass.
 	cancelRestTimeout = 2 * time.Second
-	// After a stall of the process a writer lets the readers go first. It waits for clock.catchUpTime at most catchUpRounds
-	// times. Then it checks at most clientCheckRounds times, every clientCheckInterval, whether everything from the client of
-	// the next message has been read.
+	// After a stall of the process, a writer lets the readers run first. It waits for clock.catchUpTime at most catchUpRounds
+	// times. Then it checks at most clientCheckRounds times, every clientCheckInterval, whether everything that the client of
+	// the next message wrote has been read.
 	catchUpRounds       = 3
 	clientCheckRounds   = 10
 	clientCheckInterval = 2 * time.Millisecond
@@ -43,7 +45,7 @@
 	}
 }
 
-// writeNext writes the next message once the socket takes bytes, for which it waits for writeSlice at most. It returns false
+// writeNext waits until the socket accepts bytes, for writeSlice at most, and then writes the next message. It returns false
 // once the queue is empty or the connection has ended.
 func (c *nodeConn) writeNext(socket net.Conn, waiter writeWaiter) bool {
 	if !c.checkQueue() {
@@ -58,21 +60,21 @@
 		return false
 	}
 	c.awaitClientReaders()
-	madeAt := time.Now()
+	encodedAt := time.Now()
 	message, item, firstByteBy := c.nextMessage()
 	if message == nil {
 		return true
 	}
-	lastByteBy := madeAt.Add(requestRestTimeout)
+	lastByteBy := encodedAt.Add(requestRestTimeout)
 	if item.cancellation {
-		lastByteBy = madeAt.Add(cancelRestTimeout)
+		lastByteBy = encodedAt.Add(cancelRestTimeout)
 	}
 	n, err := writeMessage(socket, message, firstByteBy, lastByteBy)
 	return c.handleWritten(item, n, len(message), err)
 }
 
-// awaitClientReaders returns once everything that clients wrote during a stall of the process has been read, at the latest
-// after some tens of milliseconds. It guards against beginning an attempt for a client that has left.
+// awaitClientReaders waits until everything that clients wrote during a stall of the process has been read, for some tens of
+// milliseconds at most. Otherwise an attempt could begin although its client has left.
 func (c *nodeConn) awaitClientReaders() {
 	clock := c.pool.clock
 	for range catchUpRounds {
@@ -83,7 +85,7 @@
 		time.Sleep(wait)
 	}
 	for range clientCheckRounds {
-		if !clock.stalledLately() || c.nextClientCaughtUp() {
+		if !clock.stalledRecently() || c.nextClientCaughtUp() {
 			return
 		}
 		time.Sleep(clientCheckInterval)
@@ -101,9 +103,9 @@
 	return client == nil || client.isCaughtUp()
 }
 
-// checkQueue returns whether a message waits to be written, and records since when. It ends the connection if the node has
-// taken no bytes for stuckAfter or the lifetime of an order, as the messages that wait for it would be void. It retires the
-// connection if a write was blocked until nothing was left to write.
+// checkQueue returns whether a message waits to be written, and records since when. It ends the connection if the node has read
+// no bytes for stuckAfter or the lifetime of an order, since the messages that wait for it would be void. It retires the
+// connection if a write was blocked until no messages were left to write.
 func (c *nodeConn) checkQueue() bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -115,7 +117,7 @@
 		return false
 	case len(c.queue) == 0:
 		c.writingSince = 0
-		if blocked { // the next request would wait in vain as well
+		if blocked { // the next request would probably not be written either
 			c.retire()
 		}
 		return false
@@ -128,16 +130,16 @@
 	return true
 }
 
-// pruneQueue removes messages that must no longer be written from the front of the queue.
+// pruneQueue removes void messages from the front of the queue.
 func (c *nodeConn) pruneQueue() {
 	for len(c.queue) > 0 && !c.hasEndedLocked() && c.endIfVoid(c.queue[0]) {
 		c.queue = slices.Delete(c.queue, 0, 1)
 	}
 }
 
-// endIfVoid returns whether a message must no longer be written, and ends its attempt if so. A message is void if its attempt
-// has finished, its client has left, it waited for too long, or the time in which it may run has passed. A cancellation is
-// void only if its attempt has finished.
+// endIfVoid returns whether a message is void, which means that it must no longer be written, and ends its attempt if so. A
+// request is void if its attempt has finished, its client has left, it has waited for too long, or its time has passed. A
+// cancellation is void only if its attempt has finished.
 func (c *nodeConn) endIfVoid(item outgoing) bool {
 	attempt, now := item.attempt, c.pool.clock.now()
 	switch {
@@ -155,17 +157,17 @@
 	return false
 }
 
-// orderHasExpired returns whether an attempt must not begin any more: its order has waited for longer than the lifetime, its
-// startBefore has come, or its timeout has passed.
+// orderHasExpired returns whether an attempt must no longer begin: its order has waited for longer than the lifetime, its
+// startBefore has passed, or its timeout has passed.
 func (a *attempt) orderHasExpired(now, lifetime time.Duration) bool {
 	tooOld := now-a.orderedAt > lifetime
 	tooLate := a.startBefore > 0 && now >= a.startBefore
 	return tooOld || tooLate || now >= a.waitsUntil()
 }
 
-// nextMessage takes the next item off the queue and makes its message. It also returns the time by which the first byte must
-// leave. The timeout in the message counts from now, and so does that bound: the process may be paused before the message is
-// written. The message is nil if there is nothing to write.
+// nextMessage removes the next item from the queue and encodes its message. It also returns the time by which the first byte
+// must be written. That bound counts from now, as the timeout in the message does, since the process may be paused before the
+// message is written. The message is nil if there is nothing to write.
 func (c *nodeConn) nextMessage() (message []byte, item outgoing, firstByteBy time.Time) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -192,9 +194,9 @@
 	return resp.AppendRequest(nil, &attempt.command), item, c.pool.clock.at(now + within)
 }
 
-// handleWritten records that n of a message's size bytes were written, and returns whether the writer may go on. Only the
-// writer knows whether a request left completely, and so may be executed. A connection that ended meanwhile has left the
-// verdict on the attempt to it.
+// handleWritten records that n of a message's size bytes were written, and returns whether the writer may go on. It also ends
+// the attempt if the connection ended during the write: end does not do that, since only the writer can determine whether the
+// request was written completely, so that the node may execute it.
 func (c *nodeConn) handleWritten(item outgoing, n, size int, err error) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -214,8 +216,8 @@
 	return err == nil
 }
 
-// handleCancellationWritten ends an attempt after its cancellation was written, or after the close of the connection told the
-// node the same.
+// handleCancellationWritten ends an attempt after its cancellation was written, or after the connection was closed, which has
+// the same effect at the node.
 func (c *nodeConn) handleCancellationWritten(item outgoing) {
 	switch {
 	case c.hasEndedLocked():
@@ -241,8 +243,8 @@
 	}
 }
 
-// putBack returns a message of which no byte left to the front of the queue. Its attempt has not begun. An attempt that was
-// cancelled meanwhile ends instead.
+// putBack returns a message of which no byte was written to the front of the queue. Its attempt counts as not begun. If the
+// attempt was cancelled in the meantime, it ends instead.
 func (c *nodeConn) putBack(item outgoing) {
 	if item.cancellation {
 		c.queue = slices.Insert(c.queue, 0, item)
--- a/internal/director/observer.go
+++ b/internal/director/observer.go
@@ -6,23 +6,23 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// The observer of ended requests. Optional parts of serving, such as a capture of requests, connect here only.
+// This file has the observer of ended requests, through which optional features, such as a capture of requests, are attached.
 
-// Observer is notified of each request once it has ended. The call is made in the request's goroutine, so many calls run at
-// the same time. It must not block.
+// Observer is notified of each request that has ended. RequestEnded is called in the request's goroutine, so many calls may run
+// concurrently. It must not block.
 type Observer interface{ RequestEnded(RequestRecord) }
 
-// Disposition tells how a request ended.
+// Disposition is the way in which a request ended.
 type Disposition uint8
 
 const (
-	// Served is a success.
+	// Served means that the request succeeded.
 	Served Disposition = iota
-	// Rejected is an answer that nothing was executed.
+	// Rejected means that the request was answered as not executed.
 	Rejected
-	// Failed is an error: the request may have been executed.
+	// Failed means that the request was answered with an error and may have been executed.
 	Failed
-	// ClientGone is a request whose client left or cancelled before its answer.
+	// ClientGone means that the client left or cancelled the request before it was answered.
 	ClientGone
 )
 
@@ -35,9 +35,9 @@
 	Group             uint32
 	BytesIn, BytesOut int // bytes of the bodies
 	Disposition       Disposition
-	Fill              routing.Fill  // of the answer that went to the client
-	FirstByte         time.Duration // from the arrival until the first byte of that answer; 0: there was no such answer
-	Duration          time.Duration // from the arrival until the final answer
+	Fill              routing.Fill  // of the answer that was sent to the client
+	FirstByte         time.Duration // from the arrival to the first byte of that answer; 0: there was no such answer
+	Duration          time.Duration // from the arrival to the final answer
 	Attempts          int           // number of attempts that were ordered
 }
 
--- a/internal/director/pool.go
+++ b/internal/director/pool.go
@@ -12,15 +12,16 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// The pool of connections to nodes: where each node listens, which connection an attempt gets, and how many sockets are left.
+// This file has the pool of connections to nodes. The pool holds each node's address, selects the connection for an attempt and
+// counts the sockets that are left.
 
 const (
-	// reservedSocketsDivisor is the divisor of the pool's sockets that gives those reserved for nodes without a connection.
-	// While more than these are left, each request has a connection to itself. After that requests share connections, and no
-	// health check is made.
+	// reservedSocketsDivisor determines the share of the pool's sockets, 1/reservedSocketsDivisor, that is reserved for nodes
+	// without a connection. While more sockets than these are left, each request gets a connection of its own. After that,
+	// requests share connections, and no health checks are made.
 	reservedSocketsDivisor = 4
-	// An idle connection is used again for this fraction of the time after which nodes close theirs. Later the node may just
-	// be closing it.
+	// An idle connection is reused only for this fraction of the time after which nodes close idle connections. Later, the node
+	// may be closing it at that moment.
 	reusableIdleNumerator, reusableIdleDenominator = 4, 5
 )
 
@@ -32,7 +33,7 @@
 	log             *rateLimitedLog
 	network         Network
 	socketsReserved int
-	orderLifetime   time.Duration // an order that has not begun after this time is void
+	orderLifetime   time.Duration // an order whose attempt has not begun after this time is void
 
 	mu          sync.Mutex
 	byID        map[uint32]*node
@@ -68,8 +69,8 @@
 	return p
 }
 
-// updateEndpoint records a node as discovery lists it. Attempts that have not begun end if the node drains, moved, restarted
-// or is gone. Connections to its former address or start take no more attempts.
+// updateEndpoint records a node as discovery lists it. If the node is draining, has moved, has restarted or is gone, attempts
+// that have not begun end. Connections from before a move or restart accept no more attempts.
 func (p *connectionPool) updateEndpoint(listed discovery.Endpoint) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,7 +90,7 @@
 	}
 	known.addr, known.startedUnix, known.kind = listed.Addr, listed.StartedUnix, listed.Kind
 	known.ready = listed.State == routing.Ready
-	if listed.State == routing.Gone { // forgotten, as new nodes keep coming; sendAttempt ends later orders for it
+	if listed.State == routing.Gone { // removed, so that the map does not grow as nodes are replaced; sendAttempt ends later orders for it
 		delete(p.byID, listed.ID)
 	}
 }
@@ -104,8 +105,8 @@
 	}
 }
 
-// sendAttempt puts an attempt on a connection to the node, an existing or a new one. The attempt ends at once if the node is
-// not listed, or if there is neither a connection that can carry it nor a socket for a new one.
+// sendAttempt queues an attempt on an existing or a new connection to the node. The attempt ends immediately if the node is not
+// listed, or if there is neither a connection that can carry it nor a socket for a new one.
 func (p *connectionPool) sendAttempt(nodeID uint32, next *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -115,8 +116,8 @@
 		return
 	}
 	conn := p.pick(target, next)
-	wantsNew := conn == nil || conn.isBusy() && p.hasSpareSocket()
-	if wantsNew && (p.socketsLeft > 0 || p.closeIdle()) {
+	needsNew := conn == nil || conn.isBusy() && p.hasSpareSocket()
+	if needsNew && (p.socketsLeft > 0 || p.closeIdle()) {
 		p.socketsLeft--
 		conn = p.open(target)
 		go conn.run(target.addr)
@@ -131,7 +132,7 @@
 // hasSpareSocket returns whether more sockets are left than those reserved. Called under the mutex.
 func (p *connectionPool) hasSpareSocket() bool { return p.socketsLeft > p.socketsReserved }
 
-// open returns the record of a new connection. The caller starts its run, which dials it.
+// open adds a new connection to the node. The caller starts its run method, which dials.
 func (p *connectionPool) open(target *node) *nodeConn {
 	conn := &nodeConn{pool: p, node: target, open: map[string]*attempt{}, wake: make(chan struct{}, 1)}
 	conn.dialContext, conn.cancelDial = context.WithCancel(context.Background())
@@ -139,8 +140,8 @@
 	return conn
 }
 
-// pick returns the connection to a node that can carry the attempt and has the fewest attempts open; among idle connections,
-// the one used last. It returns nil if none can carry it.
+// pick returns the connection to a node that can carry the attempt and has the fewest open attempts. Among idle connections it
+// prefers the most recently used. It returns nil if none can carry the attempt.
 func (p *connectionPool) pick(target *node, next *attempt) (best *nodeConn) {
 	now := p.clock.now()
 	for _, conn := range target.conns {
@@ -151,7 +152,7 @@
 	return best
 }
 
-// isBetterThan returns whether the next attempt goes over this connection rather than over another one.
+// isBetterThan returns whether this connection is preferred to another one for the next attempt.
 func (c *nodeConn) isBetterThan(other *nodeConn) bool {
 	if len(c.open) != len(other.open) {
 		return len(c.open) < len(other.open)
@@ -159,8 +160,9 @@
 	return !c.isBusy() && c.lastUsed > other.lastUsed
 }
 
-// canCarry returns whether a connection may carry an attempt. It refuses a request that went over the connection before, and
-// one whose id another request lately had there: an answer to the first could pass for an answer to the second.
+// canCarry returns whether a connection may carry an attempt. It returns false if an earlier attempt of the same request used
+// the connection, or if another request with the same id recently did: an answer to the earlier attempt could be mistaken for an
+// answer to this one.
 func (p *connectionPool) canCarry(conn *nodeConn, next *attempt, now time.Duration) bool {
 	if conn.state >= nodeConnRetired || conn.isStuck(now) || len(conn.open) >= p.config.MaxStreams {
 		return false
@@ -174,8 +176,8 @@
 	return now-conn.lastUsed <= p.config.IdleTimeout*reusableIdleNumerator/reusableIdleDenominator
 }
 
-// usedConnection returns whether an attempt of the request went over a connection. Called in the request's goroutine, under
-// the pool's mutex.
+// usedConnection returns whether an earlier attempt of the request used the connection. Called in the request's goroutine,
+// under the pool's mutex.
 func (r *request) usedConnection(conn *nodeConn) bool {
 	return slices.ContainsFunc(r.attempts, func(earlier *attempt) bool { return earlier.conn == conn })
 }
@@ -207,7 +209,7 @@
 	return target.addr.String(), true
 }
 
-// returnSocket gives back what takeSpareSocket took.
+// returnSocket returns a socket that takeSpareSocket took.
 func (p *connectionPool) returnSocket() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/director/reload.go
+++ b/internal/director/reload.go
@@ -9,7 +9,7 @@
 	"indigochute.example/indigochute/internal/config"
 )
 
-// Reloading the configuration at a signal.
+// This file reloads the configuration when the process receives a reload signal.
 
 // watchReloads reads the configuration again at each signal until the director stops.
 func (d *Director) watchReloads(stop <-chan struct{}, reloads <-chan os.Signal, read func() (*config.Config, error)) {
@@ -23,21 +23,21 @@
 	}
 }
 
-// reload applies the address of the journal service from a configuration that was read again. All other settings stay as they
-// were at the start, and open connections stay open. A configuration with a fault, or of another director, changes nothing.
+// reload applies the address of the journal service from a reloaded configuration. All other settings keep their values from
+// the start, and open connections stay open. An invalid configuration, or one of another director, changes nothing.
 func (d *Director) reload(conf *config.Config, err error) {
 	if err != nil {
-		d.log.WithError(err).Error("reload: faulty, the configuration in force stays")
+		d.log.WithError(err).Error("reload: invalid configuration, keeping the current one")
 		return
 	}
 	if conf.FileIdentity != d.config.FileIdentity || !slices.Equal(conf.ClassNames, d.config.ClassNames) {
 		d.log.WithFields(logrus.Fields{"is": conf.FileIdentity, "was": d.config.FileIdentity}).
-			Error("reload: name, listen or vhosts are another director's, the configuration in force stays")
+			Error("reload: name, listen or vhosts belong to another director, keeping the current configuration")
 		return
 	}
 	d.log.WithField("journal", conf.DiscoveryAddr).Info("reload")
 	select {
-	case <-d.journalMoves: // drops an earlier move that the watch has not read yet
+	case <-d.journalMoves: // drops an earlier address that the watch has not received yet
 	default:
 	}
 	d.journalMoves <- conf.DiscoveryAddr
--- a/internal/director/request.go
+++ b/internal/director/request.go
@@ -12,19 +12,19 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// The path of one request. The request runs in a goroutine of its own, from serve to finish. These are its steps in order.
-// Each step is a method in this file unless another file is named:
+// This file has the life cycle of a request. Each request runs in its own goroutine, from serve to finish. Its steps are, in
+// order, with the methods that implement them; a method is in this file unless another file is named:
 //
 //	read      clientConn.handleRequest (client_requests.go) registers it, clientConn.startPending starts serve
 //	parse     parse (request_fields.go) checks the fields and extracts those that routing needs
 //	admit     register checks the bounds and hands the request to routing, whose orders arrive through the orders channel
-//	reject    rejectForBound if a bound is reached, reject if routing orders it: nothing was executed
+//	reject    rejectForBound if a bound is reached, reject if routing orders it; the request was not executed
 //	attempt   startAttempt passes an attempt to the connection pool (attempt.go, pool.go, node_writer.go)
 //	retry     another startAttempt after a failed attempt; routing decides whether, when and where
-//	hedge     none: routing cancels an attempt whose answer it takes to be lost, and orders the next one once that has ended,
-//	          so that no two attempts are in flight; the code here would carry out an order for a hedge all the same
+//	hedge     not used: if routing considers an answer lost, it cancels the attempt and orders the next one after that has
+//	          ended, so that no two attempts are in flight; this code would also carry out orders for hedges
 //	cancel    cancelAttempt, by routing's order or at the deadline
-//	outcome   handleAttemptEnd reports it to routing; the first success while the answer is due goes to the client
+//	outcome   handleAttemptEnd reports it to routing; the first success while the answer is due is sent to the client
 //	deadline  handleDeadline cancels the attempts in flight, and answers if routing did not
 //	answer    settle writes the one final answer: deliver, reject or fail
 //	end       finish releases the id and the bytes held, and notifies the observer
@@ -37,11 +37,11 @@
 	message   msgpack.Message // as the client wrote it
 	arrivedAt time.Duration
 	deadline  time.Duration
-	id        uint32 // routing's; 0 until it is registered
+	id        uint32 // the id for routing; 0 until it is registered
 
 	orders         chan func()   // orders of routing, oldest first
 	attemptEnds    chan *attempt // attempts that have ended
-	clientGone     chan struct{} // closed once the client has left or cancelled
+	clientGone     chan struct{} // closed once the client has left or cancelled the request
 	markClientGone func()        // closes clientGone; any goroutine may call it, more than once
 
 	holdsID   bool // its request id is in the director's openIDs; guarded by the director's mutex
@@ -49,25 +49,25 @@
 
 	state        requestState
 	settledAt    time.Duration
-	servedBy     *attempt        // the attempt whose answer went to the client; nil: none
-	routed       routing.Request // as far as the message could be parsed
+	servedBy     *attempt        // the attempt whose answer was sent to the client; nil: none
+	routed       routing.Request // the fields for routing, as far as the message could be parsed
 	attempts     []*attempt      // by number
 	openAttempts int             // number of attempts that have not ended
-	heldBytes    atomic.Int64    // bytes of bodies that it holds: its own and those of answers; any goroutine may use it
+	heldBytes    atomic.Int64    // body bytes that it holds, its own and those of answers; any goroutine may use it
 }
 
-// requestState is the state of a request. It leaves requestOpen once, in settle, and changes nowhere else.
+// requestState is the state of a request. It changes only once, in settle, from requestOpen to another state.
 type requestState uint8
 
 const (
 	requestOpen       requestState = iota // the final answer is pending
 	requestServed                         // answered with the answer of a node
-	requestRejected                       // answered that nothing was executed, with a Retry-After
+	requestRejected                       // answered that it was not executed, with a Retry-After
 	requestFailed                         // answered with an error: it may have been executed
 	requestClientGone                     // its client left or cancelled before it was answered
 )
 
-// requestStates holds the names of the states, which stand in the log.
+// requestStates holds the names of the states in the log.
 var requestStates = [...]string{
 	requestOpen:       "",
 	requestServed:     "done",
@@ -114,7 +114,7 @@
 }
 
 // admit parses the request and registers it. It returns errBoundReached if the request must be rejected, and any other error
-// if the message is at fault.
+// if the message is invalid.
 func (r *request) admit() (err error) {
 	if r.routed, err = r.parse(); err != nil {
 		return err
@@ -123,12 +123,12 @@
 }
 
 var (
-	errBoundReached       = errors.New("too much is held")
-	errDuplicateRequestID = errors.New("the id is that of an open req")
+	errBoundReached       = errors.New("a bound on requests or body bytes is reached")
+	errDuplicateRequestID = errors.New("the request id is in use by another open request")
 )
 
-// register hands the request to routing, which may order attempts before register returns. It returns errBoundReached if a
-// bound is reached, and errDuplicateRequestID if another open request has the same id, as nodes could not tell the two apart.
+// register passes the request to routing, which may order attempts before register returns. It returns errBoundReached if a
+// bound is reached, and errDuplicateRequestID if another open request has the same id, since nodes could not distinguish them.
 func (r *request) register(routed routing.Request) error {
 	d := r.director
 	if d.rejecting.Load() || !r.reserveOwnBody() {
@@ -151,13 +151,14 @@
 }
 
 // run carries out routing's orders and handles the ends of attempts until the request has its answer and no attempt is open.
-// An order is carried out even if the client has left meanwhile, since routing counts the attempt.
+// It also carries out orders that arrive after the client has left, since routing counts the attempt as in flight until it
+// ends.
 func (r *request) run() {
 	expired := time.NewTimer(r.deadline - r.director.clock.now())
 	defer expired.Stop()
-	clientGone := r.clientGone // nil once the client's leaving has been handled
+	clientGone := r.clientGone // nil once handleClientGone was called
 	for !r.isSettled() || r.openAttempts > 0 || len(r.orders) > 0 {
-		if clientGone != nil && r.isClientGone() { // takes precedence over whatever else is ready
+		if clientGone != nil && r.isClientGone() { // takes precedence over all other cases that are ready
 			clientGone = nil
 			r.handleClientGone()
 		}
@@ -166,7 +167,7 @@
 			order()
 		case ended := <-r.attemptEnds:
 			r.handleAttemptEnd(ended)
-		case <-clientGone: // handled at the start of the next round
+		case <-clientGone: // handled at the start of the next iteration
 		case <-expired.C:
 			r.handleDeadline()
 			expired.Reset(r.nextDeadlineCheck())
@@ -202,8 +203,8 @@
 	}
 }
 
-// reportOutcome reports the outcome of an ended attempt to routing. It returns whether the attempt won, which means that it
-// is the first success while the final answer is due.
+// reportOutcome reports the outcome of an ended attempt to routing. It returns whether the attempt won: an attempt wins if it
+// is the first to succeed while the final answer is due.
 func (r *request) reportOutcome(ended *attempt) (won bool) {
 	d := r.director
 	d.mu.Lock()
@@ -217,18 +218,18 @@
 	return won
 }
 
-// handleClientGone settles the request without an answer, and tells routing to forget it.
+// handleClientGone settles the request without an answer and removes it from routing.
 func (r *request) handleClientGone() {
 	r.settle(requestClientGone, noAnswer)
 	r.takeAnswer()
 }
 
-// overdueAfter is how long after its deadline a request is answered even if routing ordered no answer. It guards against a
-// defect in routing. Clients still count an answer that comes within half a second after the deadline.
+// overdueAfter is the time after its deadline at which a request is failed if routing has ordered no answer, which would be a
+// defect in routing. Clients accept an answer until half a second after the deadline.
 const overdueAfter = 250 * time.Millisecond
 
-// nextDeadlineCheck returns the time until handleDeadline runs again. The second run is overdueAfter past the deadline,
-// however late the first one was. Later runs follow every overdueAfter.
+// nextDeadlineCheck returns the time until the next call of handleDeadline. The second call is overdueAfter past the deadline,
+// even if the first one was late. Further calls follow at intervals of overdueAfter.
 func (r *request) nextDeadlineCheck() time.Duration {
 	now := r.director.clock.now()
 	if overdue := r.deadline + overdueAfter; now < overdue {
@@ -237,8 +238,8 @@
 	return overdueAfter
 }
 
-// handleDeadline cancels the attempts that nodes did not answer in time. It runs at the deadline, then at the intervals that
-// nextDeadlineCheck returns.
+// handleDeadline cancels the attempts that nodes did not answer in time. It is called at the deadline and then at the
+// intervals that nextDeadlineCheck returns.
 func (r *request) handleDeadline() {
 	for number := range r.attempts {
 		r.cancelAttempt(number, Expired)
@@ -248,17 +249,17 @@
 	}
 }
 
-// answerOverdue fails a request for which routing ordered no final answer.
+// answerOverdue fails the request if routing has ordered no final answer.
 func (r *request) answerOverdue() {
 	if r.isSettled() || !r.takeAnswer() {
 		return
 	}
-	r.fail("no answer in time") // first, as a log line may take long
-	r.director.log.WithField("req", r.message.RequestID).Error("req: no answer was ordered in time")
+	r.fail("no answer before the deadline") // before the log line, which may block
+	r.director.log.WithField("req", r.message.RequestID).Error("req: routing ordered no answer before the deadline")
 }
 
-// takeAnswer tells routing to forget the request. It returns whether the final answer was still due; if so, the caller must
-// give it.
+// takeAnswer removes the request from routing. It returns whether the final answer was still due. If so, the caller must give
+// that answer.
 func (r *request) takeAnswer() (due bool) {
 	r.director.mu.Lock()
 	defer r.director.mu.Unlock()
@@ -281,20 +282,20 @@
 	})
 }
 
-// reject answers that nothing was executed, and names the time after which the client may retry.
+// reject answers that the request was not executed, with the time after which the client may retry.
 func (r *request) reject(retryAfter time.Duration) {
 	r.settle(requestRejected, func() { r.client.write(msgpack.Rejection(r.message.ID, retryAfter)) })
 }
 
-// rejectForBound rejects a request because a bound is reached, before anything of it was sent. The client's reader calls it
-// too, so it must not wait for a client that reads slowly: it queues a short answer.
+// rejectForBound rejects a request because a bound is reached, before any attempt. It queues a short answer instead of writing
+// it, since it is also called in the client's reader, which must not wait for a client that reads slowly.
 func (r *request) rejectForBound() {
 	r.client.uselessInRow.Add(1)
 	retryAfter := r.director.retryAfter(r.message.ID)
 	r.settle(requestRejected, func() { r.client.postShort(msgpack.Rejection(r.message.ID, retryAfter)) })
 }
 
-// fail answers with an error, which leaves open whether the request was executed.
+// fail answers with an error. The request may have been executed.
 func (r *request) fail(reason string) {
 	if !r.client.everServed.Load() || len(r.attempts) == 0 {
 		r.client.uselessInRow.Add(1)
@@ -302,11 +303,11 @@
 	r.settle(requestFailed, func() { r.client.write(msgpack.Failure(r.message.ID, reason)) })
 }
 
-// noAnswer is what settle calls for a client that has left.
+// noAnswer is the answer function for settle if the client has left.
 func noAnswer() {}
 
-// settle gives the one final answer, unless the client has left. Later calls do nothing. It also cancels the attempts of
-// which no byte has left, whatever the settings say of cancellations, since no node needs to be notified.
+// settle gives the final answer, unless the client has left. Later calls do nothing. It also cancels the attempts of which no
+// byte was written, even if the settings do not allow cancellations, since no node has to be notified.
 func (r *request) settle(state requestState, answer func()) {
 	if r.isSettled() {
 		return
@@ -324,8 +325,8 @@
 	r.client.release(r)
 }
 
-// releaseID allows the request's id to be used again. It is called once no node has anything of the request. Where
-// settle calls it, that is before the answer leaves, since a client may use the id again as soon as it has the answer.
+// releaseID allows the request's id to be used again. It is called once no attempt is open. settle calls it before it gives
+// the answer, since a client may use the id again as soon as it has the answer.
 func (r *request) releaseID() {
 	r.director.mu.Lock()
 	defer r.director.mu.Unlock()
@@ -342,7 +343,7 @@
 }
 
 // finish releases everything that the request holds. It also recovers from a panic in the request's goroutine, so that a
-// defect costs this request alone.
+// defect affects this request only.
 func (r *request) finish() {
 	if fault := recover(); fault != nil {
 		r.failAfterPanic(fault)
@@ -388,7 +389,7 @@
 	r.releaseIDLocked()
 }
 
-// isSettled returns whether the final answer has been given or is no longer wanted.
+// isSettled returns whether the final answer was given or is no longer needed.
 func (r *request) isSettled() bool { return r.state != requestOpen }
 
 // isClientGone returns whether the client has closed its connection or cancelled the request.
--- a/internal/director/request_fields.go
+++ b/internal/director/request_fields.go
@@ -9,19 +9,20 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// The fields of a request: those that routing needs are parsed, those that go to nodes unchanged are checked.
+// This file parses the fields of a request that routing needs, and checks those that are forwarded to nodes unchanged.
 
 const (
 	maxFieldBytes = 64 // of an idempotency key or an entity tag
 	idDigits      = 16 // hex digits of a request id or an object id
 	partBits      = 16 // of a part number
 	groupBits     = 8  // of a group number
-	// maxTimeoutFactor is how many times the class's timeout a client timeout may be: clients count it in their own way.
+	// maxTimeoutFactor bounds a client timeout as a multiple of the class's timeout. It is above 1 because clients measure
+	// their timeout in their own way.
 	maxTimeoutFactor = 2
 )
 
-// parse returns the fields that routing needs. It also checks the fields that go to nodes unchanged, which guards against a
-// client that writes other fields, or other requests, to a node.
+// parse returns the fields that routing needs. It also checks the fields that are forwarded to nodes unchanged, so that a client
+// cannot inject other fields or other requests into the message to a node.
 func (r *request) parse() (routed routing.Request, err error) {
 	class, ok := r.director.classes[r.message.Class]
 	if !ok {
@@ -36,11 +37,11 @@
 	}
 	part, err := strconv.ParseUint(r.message.Part, 10, partBits)
 	if err != nil && r.message.Part != "" {
-		return routed, fmt.Errorf("%q is no part", r.message.Part)
+		return routed, fmt.Errorf("%q is not a valid part number", r.message.Part)
 	}
 	group, err := strconv.ParseUint(r.message.Group, 10, groupBits)
 	if err != nil && r.message.Group != "" {
-		return routed, fmt.Errorf("%q is no group", r.message.Group)
+		return routed, fmt.Errorf("%q is not a valid group number", r.message.Group)
 	}
 	if err = r.checkTimeoutAndKeys(r.director.config.Settings.Classes[class]); err != nil {
 		return routed, err
@@ -53,11 +54,11 @@
 // checkTimeoutAndKeys checks the timeout against that of the class, and the form of the idempotency key and the entity tag.
 func (r *request) checkTimeoutAndKeys(class routing.Class) error {
 	if r.message.Timeout <= 0 || r.message.Timeout > maxTimeoutFactor*class.MaxDeadline {
-		return errors.New("no client timeout, or out of range")
+		return errors.New("the client timeout is missing or out of range")
 	}
 	keyMissing := class.Effect == routing.IdempotencyKeyed && r.message.IdempotencyKey == ""
 	if keyMissing || !isPlain(r.message.IdempotencyKey) || !isPlain(r.message.ETag) {
-		return errors.New("mark missing, or mark or tag not plain")
+		return errors.New("the idempotency key is missing, or the key or the entity tag is not plain ASCII")
 	}
 	return nil
 }
@@ -66,13 +67,13 @@
 func parseID(text string) (uint64, error) {
 	id, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != idDigits || strings.ToLower(text) != text {
-		return 0, fmt.Errorf("%q is not 16 hex digits", text)
+		return 0, fmt.Errorf("%q is not 16 lower-case hex digits", text)
 	}
 	return id, nil
 }
 
-// isPlain returns whether a text can go to a node unchanged: at most maxFieldBytes printable ASCII characters, none of which
-// ends a field.
+// isPlain returns whether a text can be forwarded to a node unchanged: it has at most maxFieldBytes printable ASCII characters,
+// none of which is a separator.
 func isPlain(text string) bool {
 	if len(text) > maxFieldBytes {
 		return false
--- a/internal/director/request_test.go
+++ b/internal/director/request_test.go
@@ -11,19 +11,19 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// Bodies, ids, entity tags and idempotency keys pass unchanged in both directions.
-func TestBytesPassUnchanged(t *testing.T) {
+// Bodies, ids, entity tags and idempotency keys must be forwarded unchanged in both directions.
+func TestFieldsAndBodiesForwardedUnchanged(t *testing.T) {
 	w := start(t, 1)
 	big := strings.Repeat("0123456\xff\r\n", 24000)
 	id := w.sendRequest("page", 5000, "", "mine", "4be0c1927d55a6f3")
 	command := w.nextCommand("GET")
 	for _, f := range []string{"c=page", "k=00000000000000a1", "p=2", "next=s-000000aa", "cached=4be0c1927d55a6f3"} {
 		if !strings.Contains(","+command.fields+",", ","+f+",") {
-			t.Errorf("fields %q lack %s", command.fields, f)
+			t.Errorf("got fields %q, want them to contain %s", command.fields, f)
 		}
 	}
 	if command.id != fmt.Sprintf("%016x", id) {
-		t.Errorf("id %q", command.id)
+		t.Errorf("got id %q, want that of the request", command.id)
 	}
 	command.reply(t, "HIT", "note=fetched,slow=12,t0=1,sum=ab,load=util:0.5;x1:2", big)
 	w.expectAnswer(id, "", big)
@@ -32,14 +32,14 @@
 	w.expectAnswer(id, "still 1", "")
 	id = w.sendRequest("log", 5000, big[:48000], "k", "5c0f")
 	if command = w.nextCommand("GET"); command.body != big[:48000] || !strings.Contains(command.fields, ",i=5c0f") {
-		t.Errorf("body of %d bytes, fields %q", len(command.body), command.fields)
+		t.Errorf("got a body of %d bytes and fields %q, want the client's body and idempotency key", len(command.body), command.fields)
 	}
 	command.reply(t, "HIT", "-", "ok")
 	w.expectAnswer(id, "", "ok")
 }
 
-// Answers go to their requests in whatever order nodes give them.
-func TestAnswersInAnyOrder(t *testing.T) {
+// Each answer must reach its own request, also if a node answers in another order than it received the requests.
+func TestAnswersOutOfOrder(t *testing.T) {
 	w := start(t, 1)
 	first, second := w.sendRequest("log", 5000, "1", "k", "7"), w.sendRequest("log", 5000, "2", "k", "7")
 	firstCommand, secondCommand := w.nextCommand("GET"), w.nextCommand("GET")
@@ -52,9 +52,9 @@
 	w.expectAnswer(first, "", "1")
 }
 
-// A request that a node rejects, fails or breaks off is retried at another node, unless it may have been executed and must not
-// be executed twice.
-func TestRetriesOfForwardedRequests(t *testing.T) {
+// A request that a node rejects or fails, or whose connection a node closes, must be retried at another node, unless it may have
+// been executed and must not be executed twice.
+func TestRetryAfterNodeFailure(t *testing.T) {
 	for _, test := range []struct {
 		class     string
 		firstWord string // the first node's answer; empty: it closes the connection
@@ -70,7 +70,7 @@
 		{class: "order", firstWord: "", retried: false},
 	} {
 		w := start(t, 2)
-		w.expectServed("page", "", "-", "so that the client has had a success")
+		w.expectServed("page", "", "-", "the client's first success")
 		id := w.sendRequest(test.class, 5000, "x", "k", "7")
 		first := w.nextCommand("GET")
 		if test.firstWord == "" {
@@ -86,32 +86,32 @@
 		}
 		second := w.nextCommand("GET")
 		if second.node == first.node {
-			t.Errorf("%s after %q: retried at the same cache", test.class, test.firstWord)
+			t.Errorf("%s after %q: retried at the same cache, want another one", test.class, test.firstWord)
 		}
 		second.reply(t, "HIT", "note=cached", "y")
 		w.expectAnswer(id, "", "y")
 	}
 }
 
-// If a node never answers, the final answer comes before the client timeout, and the node receives a cancellation. A late
-// answer of the node is ignored, and the next request is served.
-func TestNodeThatNeverAnswers(t *testing.T) {
+// If a node does not answer, the final answer must come before the client timeout, and the node must receive a cancellation. A
+// late answer of the node must be ignored, and the next request must be served.
+func TestNodeDoesNotAnswer(t *testing.T) {
 	w := start(t, 1)
 	id := w.sendRequest("page", 500, "")
 	command := w.nextCommand("GET")
 	if gotID, word, rest := w.readAnswer(); gotID != id || word != "Shed" || !strings.HasPrefix(rest, "w ") {
-		t.Fatalf("%d %q %q", gotID, word, rest)
+		t.Fatalf("got answer to %d, %q %q; want Shed with a Retry-After", gotID, word, rest)
 	}
 	if drop := w.nextCommand("DROP"); drop.id != command.id {
-		t.Errorf("dropped %q", drop.id)
+		t.Errorf("node received a cancellation of %q, want one of its request", drop.id)
 	}
 	command.reply(t, "HIT", "note=cached", "late")
 	w.expectServed("page", "", "note=cached", "in time")
 }
 
-// A request for which routing orders no answer is answered overdueAfter past its deadline, even if its goroutine runs late, as
-// after a pause of the process.
-func TestAnswerWithoutAnOrder(t *testing.T) {
+// A request for which routing orders no answer must be answered overdueAfter past its deadline, even if its goroutine runs late,
+// such as after a pause of the process.
+func TestOverdueRequestFailed(t *testing.T) {
 	const sinceDeadline = 200 * time.Millisecond // how late its goroutine runs
 	tryUntilInTime(t, func() bool {
 		w := start(t, 1)
@@ -121,18 +121,18 @@
 		before := time.Now()
 		go r.run()
 		if id, word, _ := w.readAnswer(); id != 7 || word != "Fault" {
-			t.Fatalf("request %d has %q", id, word)
+			t.Fatalf("got answer to %d, %q; want one to 7, Fault", id, word)
 		}
 		took := time.Since(before)
 		if took < overdueAfter-sinceDeadline {
-			t.Errorf("answered after %v", took)
+			t.Errorf("answered after %v, want at least overdueAfter past the deadline", took)
 		}
 		return took < overdueAfter-sinceDeadline/4
 	})
 }
 
-// The log takes nothing for a while: a request to which routing orders no answer has one all the same.
-func TestAnswerBeforeItsLogLine(t *testing.T) {
+// A log that blocks must not delay the answer to a request for which routing ordered no answer.
+func TestOverdueRequestFailedWhileLogBlocks(t *testing.T) {
 	w := start(t, 1)
 	r := newRequest(w.director, w.unreadClient(), msgpack.Message{ID: 7}, w.director.clock.now()-overdueAfter)
 	r.answerDue = true
@@ -141,44 +141,44 @@
 	id, word, _ := w.readAnswer()
 	w.logged.mu.Unlock()
 	if id != 7 || word != "Fault" {
-		t.Errorf("request %d has %q, want 7 and Fault", id, word)
+		t.Errorf("got answer to %d, %q; want one to 7, Fault", id, word)
 	}
-	w.waitUntil("logged", func() bool { return w.logged.count("no answer was ordered in time") == 1 })
+	w.waitUntil("logged", func() bool { return w.logged.count("routing ordered no answer before the deadline") == 1 })
 }
 
-// A request over the bound on bodies is rejected at once, before any node receives it.
-func TestBodiesBounded(t *testing.T) {
+// A request over the bound on body bytes must be rejected immediately, before any node receives it.
+func TestBodyBytesBounded(t *testing.T) {
 	w := start(t, 1)
 	w.director.bodyBytes.Add(w.director.bounds.maxBodyBytes)
 	id := w.sendRequest("order", 5000, "x")
 	if gotID, word, _ := w.readAnswer(); gotID != id || word != "Shed" {
-		t.Fatalf("%d %q", gotID, word)
+		t.Fatalf("got answer to %d, %q; want Shed", gotID, word)
 	}
 	w.director.bodyBytes.Add(-w.director.bounds.maxBodyBytes)
 	slow := &request{director: w.director, client: &clientConn{}}
 	if !slow.reserveBody(int(w.director.bounds.maxClientBodyBytes/2)+1) || slow.register(routing.Request{}) != errBoundReached {
-		t.Error("a client that holds half of its bound is not rejected")
+		t.Error("request of a client that holds more than half of its bound: got no errBoundReached")
 	}
 	if slow.reserveBody(int(w.director.bounds.maxClientBodyBytes/2)) || w.director.bodyBytes.Load() != slow.heldBytes.Load() {
-		t.Error("over the bound, or counted wrongly")
+		t.Error("body over the client's bound: reserved or counted, want neither")
 	}
 	w.expectServed("order", "x", "-", "")
 }
 
-// The send time follows from the size of the answer and the configured transfer rate. It is 0 for an empty answer or without a
-// rate.
+// The send time is computed from the size of the answer and the configured transfer rate. It is 0 for an empty answer or without
+// a rate.
 func TestSendTime(t *testing.T) {
 	d := &Director{config: &config.Config{TransferRate: 5000}}
 	if got := d.sendTime(2255); got != 451*time.Millisecond || d.sendTime(0) != 0 {
-		t.Errorf("%v for 2255 bytes, %v for none", got, d.sendTime(0))
+		t.Errorf("got %v for 2255 bytes and %v for none, want 451ms and 0s", got, d.sendTime(0))
 	}
 	if d.config.TransferRate = 0; d.sendTime(2255) != 0 {
-		t.Error("got a send time without a transfer rate")
+		t.Error("without a transfer rate: got a send time, want 0")
 	}
 }
 
-// The names of request states in the debug log do not change.
-func TestRequestStatesInTheLog(t *testing.T) {
+// The names of the request states in the debug log are read by operators and must not change.
+func TestRequestStateLogNames(t *testing.T) {
 	for state, want := range map[requestState]string{
 		requestOpen:       "",
 		requestServed:     "done",
--- a/internal/director/shutdown_short_test.go
+++ b/internal/director/shutdown_short_test.go
@@ -15,26 +15,27 @@
 	"time"
 )
 
-// crossing bounds how long before the end of its connection a request may be written that its client sends again elsewhere.
-const crossing = 50 * time.Millisecond
+// resendWindow bounds the time from writing a request to the end of its connection in which the request may stay unanswered. Its
+// client sends such a request again elsewhere.
+const resendWindow = 50 * time.Millisecond
 
-// busyClient is a client that sends requests on its open connection until it sees the end of the stream.
+// busyClient is a client that sends requests on its connection until it sees the end of the stream.
 type busyClient struct {
-	world    // its own connection
+	harness  // has its own connection
 	requests []string
 	wrote    map[uint32]time.Time
 	answers  map[uint32]time.Time
-	ended    time.Time // when it saw the end of its connection; zero: never
+	ended    time.Time // when it saw the end of the stream; zero: never
 	mu       sync.Mutex
 }
 
 const (
-	busyClientOpen  = 16               // requests that it has open at a time
+	busyClientOpen  = 16               // open requests at a time
 	busyClientPause = time.Millisecond // between two requests
 )
 
 func (client *busyClient) run(until time.Time) {
-	places, end := make(chan struct{}, busyClientOpen), make(chan struct{})
+	slots, end := make(chan struct{}, busyClientOpen), make(chan struct{})
 	go func() {
 		defer close(end)
 		for {
@@ -50,13 +51,13 @@
 			client.mu.Lock()
 			client.answers[id] = time.Now()
 			client.mu.Unlock()
-			<-places
+			<-slots
 		}
 	}()
 	first := client.lastID - uint32(len(client.requests)) + 1
 	for i, call := range client.requests {
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-end:
 			return
 		case <-time.After(time.Until(until)):
@@ -72,8 +73,8 @@
 	}
 }
 
-// With short deadlines the process may be killed soon after the signal. Even if nodes hang and clients keep sending on their
-// open connections, everything that is read is answered before the kill.
+// With short deadlines the process may be killed soon after the shutdown signal. Even if nodes hang and clients keep sending on
+// their open connections, all requests that are read must be answered before the kill.
 func TestShutdownWhileClientsKeepSending(t *testing.T) {
 	for _, longest := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond} {
 		t.Run(longest.String(), func(t *testing.T) {
@@ -109,9 +110,9 @@
 					switch {
 					case ok && answer.Before(killed):
 						answered++
-					case !client.ended.IsZero() && client.ended.Sub(wrote) < crossing: // sent again elsewhere
+					case !client.ended.IsZero() && client.ended.Sub(wrote) < resendWindow: // the client sends it again elsewhere
 					default:
-						t.Errorf("client %d: one of %v before the kill has no answer; the connection ended %v before",
+						t.Errorf("client %d: request written %v before the kill has no answer; the connection ended %v before the kill",
 							i, killed.Sub(wrote), killed.Sub(client.ended))
 					}
 				}
@@ -119,7 +120,7 @@
 			}
 			t.Logf("%d of %d requests were answered", answered, all)
 			if answered < 100 {
-				t.Errorf("only %d requests were answered", answered)
+				t.Errorf("%d requests were answered, want at least 100", answered)
 			}
 			running.Wait()
 			<-w.served
@@ -127,7 +128,7 @@
 	}
 }
 
-// slowWriter is a connection on which each write takes some time, as on a busy machine. It counts closes during a write.
+// slowWriter is a connection on which each write takes some time, as on a busy machine. It counts calls of Close during a write.
 type slowWriter struct {
 	*net.TCPConn
 	writing  atomic.Int32
@@ -164,13 +165,13 @@
 	return &slowWriter{TCPConn: conn, closedIn: &l.closedIn}, nil
 }
 
-// Each write of these clients is the rest of one message and the beginning of the next. At the end of a shutdown no connection
-// is closed over a request that was read.
-func TestLastMomentAmidMessages(t *testing.T) {
+// Each write of these clients has the rest of one message and the beginning of the next, so that a message is always incomplete.
+// At the end of a shutdown, no connection may be closed while a request that was read is unanswered.
+func TestShutdownWithIncompleteMessages(t *testing.T) {
 	const longest = 200 * time.Millisecond
 	replacements := []string{strconv.FormatInt(testTimeout.Microseconds(), 10), strconv.FormatInt(longest.Microseconds(), 10)}
-	w := startWith(t, 1, replacements, func(w *world) {
-		w.director.clientLog.interval = 0 // logs each connection
+	w := startWith(t, 1, replacements, func(w *harness) {
+		w.director.clientLog.interval = 0 // logs every connection
 	})
 	l := &slowListener{TCPListener: listen(t).(*net.TCPListener)}
 	ctx, stop := context.WithCancel(context.Background())
@@ -179,7 +180,7 @@
 	defer running.Wait()
 	for range 8 {
 		conn := dial(t, l.Addr().String())
-		client := &world{t: t, lastID: w.lastID}
+		client := &harness{t: t, lastID: w.lastID}
 		var pieces []string
 		begin := ""
 		for range 200 {
@@ -202,7 +203,7 @@
 	stop()
 	w.awaitEnd(ended)
 	if n := l.closedIn.Load(); n > 0 {
-		t.Errorf("%d connections were closed during the write of an answer", n)
+		t.Errorf("%d connections were closed during the write of an answer, want none", n)
 	}
 	w.logged.mu.Lock()
 	defer w.logged.mu.Unlock()
@@ -213,20 +214,21 @@
 	}
 }
 
-// Once a connection is closed for writing, no more requests are registered: a message completed after that is ignored.
-func TestRestBehindTheEnd(t *testing.T) {
+// Once the writing side of a connection is closed, no more requests may be registered: a message that is completed after that
+// must be ignored.
+func TestMessageCompletedAfterCloseWrite(t *testing.T) {
 	w := start(t, 1)
-	here, there := w.acceptPair(listen(t))
-	c := newClientConn(w.director, here)
+	directorConn, peerConn := w.acceptPair(listen(t))
+	c := newClientConn(w.director, directorConn)
 	go c.read()
-	w.useConn(there)
+	w.useConn(peerConn)
 	_, first := w.requestText("page", 5000, "")
 	_, second := w.requestText("page", 5000, "")
 	w.write(first + second[:20])
 	command := w.nextCommand("GET")
 	c.closeWriteIfCaughtUp()
 	if c.isWriteClosed() {
-		t.Error("closed for writing with an open request")
+		t.Error("writing side closed with an open request, want it open")
 	}
 	command.reply(t, "HIT", "-", "")
 	w.readAnswer()
@@ -235,7 +237,7 @@
 		return c.isWriteClosed()
 	})
 	if _, err := w.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ends with %v", err)
+		t.Errorf("got %v, want EOF", err)
 	}
 	w.write(second[20:])
 	w.waitUntil("closed", func() bool {
--- a/internal/director/shutdown_test.go
+++ b/internal/director/shutdown_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// After the signal, requests are still answered. Then the director ends by itself.
+// After the shutdown signal, requests must still be answered. Then the director must end by itself.
 func TestShutdown(t *testing.T) {
 	w := start(t, 1)
 	before := w.sendRequest("log", 5000, "1", "k", "7")
@@ -26,29 +26,29 @@
 	w.expectAnswer(before, "", "a")
 	w.awaitEnd(w.served)
 	if _, err := w.reader.ReadByte(); err != io.EOF {
-		t.Errorf("the client's connection ends with %v", err)
+		t.Errorf("client connection: got %v, want EOF", err)
 	}
 }
 
-// A request that stays open for too long after the signal fails before the process is killed.
-func TestShutdownWithoutAnswers(t *testing.T) {
+// A request that is still open long after the shutdown signal must fail before the process is killed.
+func TestShutdownFailsOpenRequests(t *testing.T) {
 	w := start(t, 1)
 	id := w.sendRequest("order", 15000, "1")
 	w.nextCommand("GET")
 	w.stop()
 	if gotID, word, _ := w.readAnswer(); gotID != id || word != "Fault" {
-		t.Fatalf("%d %q", gotID, word)
+		t.Fatalf("got answer to %d, %q; want Fault to the open request", gotID, word)
 	}
 	<-w.served
 }
 
-// A request that arrives after the client has seen the end of the stream is not forwarded, since no answer could reach its
+// A request that arrives after the director has closed its writing side must not be forwarded, since no answer could reach the
 // client.
-func TestNothingIsTakenAfterTheEnd(t *testing.T) {
+func TestRequestsAfterCloseWriteIgnored(t *testing.T) {
 	w := start(t, 1)
 	w.stop()
-	if _, err := w.reader.ReadByte(); err != io.EOF { // the client sees the end of the stream, and writes all the same
-		t.Fatalf("%v", err)
+	if _, err := w.reader.ReadByte(); err != io.EOF { // the client sees the end of the stream, but still writes
+		t.Fatalf("got %v, want EOF", err)
 	}
 	for range 8 {
 		w.sendRequest("order", 5000, "x")
@@ -57,30 +57,30 @@
 	w.director.mu.Lock()
 	defer w.director.mu.Unlock()
 	if w.director.lastID != 0 {
-		t.Errorf("%d requests were taken", w.director.lastID)
+		t.Errorf("%d requests were registered, want none", w.director.lastID)
 	}
 }
 
-// A request that lies unread, or has arrived in part, when its connection is about to end is answered first, whether the
-// connection is idle, makes room or the director shuts down.
-func TestRequestsAsTheConnectionEnds(t *testing.T) {
+// A request that is unread or has arrived in part when its connection is about to be closed must be answered first, whether the
+// connection is idle, is evicted or the director shuts down.
+func TestRequestsArrivingBeforeClose(t *testing.T) {
 	w := start(t, 1)
 	listener := listen(t)
 	for name, text := range map[string]func(string) (string, string){
 		"whole": func(call string) (string, string) { return call, "" },
 		"half":  func(call string) (string, string) { return call[:20], call[20:] },
-		"behind another": func(call string) (string, string) { // behind an unknown notification, for which no answer is due
+		"behind another": func(call string) (string, string) { // behind an unknown notification, which gets no answer
 			return "\x93\x02" + packText("hello") + "\x90" + call, ""
 		},
 	} {
-		here, there := w.acceptPair(listener)
+		directorConn, peerConn := w.acceptPair(listener)
 		id, call := w.requestText("page", 5000, "")
 		first, rest := text(call)
-		io.WriteString(there, first)
-		c := newClientConn(w.director, here)
+		io.WriteString(peerConn, first)
+		c := newClientConn(w.director, directorConn)
 		w.waitUntil("readable", c.hasUnread)
 		c.mu.Lock()
-		c.hasSentMessage, c.lastActivity = true, -time.Hour // silent for long before this request
+		c.hasSentMessage, c.lastActivity = true, -time.Hour // the client was silent for long before this request
 		c.mu.Unlock()
 		c.closeWhenIdle()
 		go c.read()
@@ -91,72 +91,72 @@
 				return c.midMessage
 			})
 			c.closeWhenIdle()
-			io.WriteString(there, rest)
+			io.WriteString(peerConn, rest)
 		}
 		w.nextCommand("GET").reply(t, "HIT", "-", name)
-		back := w.useConn(there)
+		restore := w.useConn(peerConn)
 		w.expectAnswer(id, "", name)
 		if _, err := w.reader.ReadByte(); err != io.EOF {
-			t.Errorf("%s: then %v", name, err)
+			t.Errorf("%s: got %v after the answer, want EOF", name, err)
 		}
-		back()
+		restore()
 	}
 }
 
-// No connection is closed over unread bytes, which would lose answers: neither after an unreadable message nor when it is idle,
-// whatever the client still writes.
-func TestNoCloseOverUnreadBytes(t *testing.T) {
+// Closing a socket with unread bytes resets the connection and loses answers. So no connection may be closed with unread bytes,
+// neither after an unreadable message nor when it is idle, even if the client still writes.
+func TestNoCloseWithUnreadBytes(t *testing.T) {
 	w := start(t, 1)
 	listener := listen(t)
-	for name, write := range map[string]string{"unreadable": "\x94\x00\x01\xdb\xff\xff\xff\xff", "resting": ""} {
-		tcp, there := w.acceptPair(listener)
-		here := &closeRecorder{tcp, make(chan int, 1)}
-		c := newClientConn(w.director, here)
+	for name, write := range map[string]string{"unreadable": "\x94\x00\x01\xdb\xff\xff\xff\xff", "idle": ""} {
+		tcp, peerConn := w.acceptPair(listener)
+		directorConn := &closeRecorder{tcp, make(chan int, 1)}
+		c := newClientConn(w.director, directorConn)
 		go c.read()
-		io.WriteString(there, write)
+		io.WriteString(peerConn, write)
 		if write == "" {
 			c.closeWhenIdle()
 		}
-		back := w.useConn(there)
+		restore := w.useConn(peerConn)
 		if name == "unreadable" {
 			if _, word, _ := w.readAnswer(); word != "Fault" {
-				t.Errorf("%q", word)
+				t.Errorf("got answer %q, want Fault", word)
 			}
 		}
-		if _, err := w.reader.ReadByte(); err != io.EOF { // it has seen the end of the stream
-			t.Errorf("%s: %v", name, err)
+		if _, err := w.reader.ReadByte(); err != io.EOF { // the client sees the end of the stream
+			t.Errorf("%s: got %v, want EOF", name, err)
 		}
-		back()
-		there.Write(make([]byte, 300<<10))
-		if n := <-here.unread; n > 0 {
-			t.Errorf("%s: closed over %d bytes", name, n)
+		restore()
+		peerConn.Write(make([]byte, 300<<10))
+		if n := <-directorConn.unread; n > 0 {
+			t.Errorf("%s: closed with %d unread bytes, want none", name, n)
 		}
 	}
 }
 
-// An unreadable message ends its connection only after the open requests on it are answered.
-func TestAnswersBeforeTheEnd(t *testing.T) {
+// An unreadable message must end its connection only after the open requests on it are answered.
+func TestOpenRequestsAnsweredAfterUnreadableMessage(t *testing.T) {
 	w := start(t, 1)
-	tcp, there := w.acceptPair(listen(t))
-	here := &deadlineCounter{TCPConn: tcp}
-	go newClientConn(w.director, here).read()
-	w.useConn(there)
+	tcp, peerConn := w.acceptPair(listen(t))
+	directorConn := &deadlineCounter{TCPConn: tcp}
+	go newClientConn(w.director, directorConn).read()
+	w.useConn(peerConn)
 	id := w.sendRequest("order", 8000, "x")
 	command := w.nextCommand("GET")
 	w.write("\x94\x00\x63\xdb\xff\xff\xff\xff")
 	if got, word, _ := w.readAnswer(); got != 99 || word != "Fault" {
-		t.Errorf("%d %q", got, word)
+		t.Errorf("got answer to %d, %q; want one to 99, Fault", got, word)
 	}
-	before := here.deadlines.Load()
-	w.waitUntil("reading on", func() bool { return here.deadlines.Load() > before+3 })
-	command.reply(t, "HIT", "-", "all the same")
-	w.expectAnswer(id, "", "all the same")
+	before := directorConn.deadlines.Load()
+	w.waitUntil("reading further", func() bool { return directorConn.deadlines.Load() > before+3 })
+	command.reply(t, "HIT", "-", "after the unreadable message")
+	w.expectAnswer(id, "", "after the unreadable message")
 	if _, err := w.reader.ReadByte(); err != io.EOF {
-		t.Errorf("then %v", err)
+		t.Errorf("got %v after the answer, want EOF", err)
 	}
 }
 
-// deadlineCounter is a connection that counts its read deadlines: one for each wait of the reader.
+// deadlineCounter is a connection that counts the calls of SetReadDeadline, of which there is one for each wait of the reader.
 type deadlineCounter struct {
 	*net.TCPConn
 	deadlines atomic.Int32
@@ -183,21 +183,21 @@
 	<-l.stopped
 	select {
 	case conn := <-l.late:
-		time.Sleep(100 * time.Millisecond) // a director that does not wait for it has ended by now
+		time.Sleep(100 * time.Millisecond) // a director that does not wait for the connection has ended by now
 		return conn, nil
 	default:
 		return nil, os.ErrDeadlineExceeded
 	}
 }
 
-// A connection that is accepted at the very end of the shutdown is served.
-func TestAcceptedInTheLastMoment(t *testing.T) {
+// A connection that is accepted after the listener's deadline was set must be served before the director ends.
+func TestConnectionAcceptedAtEndOfShutdown(t *testing.T) {
 	w := start(t, 1)
 	w.conn.Close()
 	l := &lateListener{listen(t), make(chan struct{}), make(chan net.Conn, 1)}
-	here, there := w.acceptPair(l.Listener)
-	l.late <- here
-	w.useConn(there)
+	directorConn, peerConn := w.acceptPair(l.Listener)
+	l.late <- directorConn
+	w.useConn(peerConn)
 	id := w.sendRequest("page", 5000, "")
 	ctx, stop := context.WithCancel(context.Background())
 	ended := w.serveOn(ctx, l)
@@ -205,7 +205,7 @@
 	command := w.nextCommand("GET")
 	select {
 	case <-ended:
-		t.Error("the director has ended")
+		t.Error("the director has ended, want it to wait for the open request")
 	default:
 	}
 	command.reply(t, "HIT", "-", "late")
@@ -213,9 +213,9 @@
 	<-ended
 }
 
-// A signal to end that comes before the director serves does not change the shutdown. A reload during the shutdown moves the
-// watch.
-func TestSignalsInOtherOrders(t *testing.T) {
+// A shutdown signal that arrives before the director serves must not change the shutdown. A reload during the shutdown must move
+// the watch.
+func TestSignalBeforeServeAndReloadDuringShutdown(t *testing.T) {
 	w := start(t, 1)
 	listener := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -223,24 +223,24 @@
 	ended := w.serveOn(ctx, listener)
 	w.connect(listener.Addr().String())
 	w.expectServed("page", "", "-", "after the signal")
-	there := listen(t)
+	newService := listen(t)
 	moved := *w.director.config
-	moved.DiscoveryAddr = netip.MustParseAddrPort(there.Addr().String())
+	moved.DiscoveryAddr = netip.MustParseAddrPort(newService.Addr().String())
 	w.director.reload(&moved, nil)
-	w.acceptWatch(there)
+	w.acceptWatch(newService)
 	<-ended
 }
 
-// If the last answers cross the failures of open requests, no request gets two answers. A client that reads nothing delays the
-// end of the shutdown for a bounded time only.
-func TestFailuresCrossAnswers(t *testing.T) {
+// If open requests are failed while their answers are being written, no request may get two answers. A client that reads nothing
+// may delay the end of the shutdown for a bounded time only.
+func TestShutdownFailureDuringAnswer(t *testing.T) {
 	w := start(t, 1)
-	here, there := net.Pipe() // takes nothing that is not read
-	c := newClientConn(w.director, here)
+	directorConn, peerConn := net.Pipe() // unbuffered: a write blocks until the other end reads
+	c := newClientConn(w.director, directorConn)
 	go c.read()
 	w.director.clients.admit(c, 0)
-	quick := w.conn
-	w.conn = there
+	readingConn := w.conn
+	w.conn = peerConn
 	id := w.sendRequest("log", 8000, "", "k", "7")
 	w.nextCommand("GET").reply(t, "HIT", "-", strings.Repeat("x", 1000))
 	w.waitUntil("being written", func() bool {
@@ -253,21 +253,21 @@
 	})
 	w.director.failAllOpen()
 	w.director.failAllOpen()
-	w.reader = bufio.NewReader(there)
+	w.reader = bufio.NewReader(peerConn)
 	w.expectAnswer(id, "", strings.Repeat("x", 1000))
-	there.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	peerConn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if b, err := w.reader.ReadByte(); err == nil {
-		t.Errorf("a second answer begins with %x", b)
+		t.Errorf("got a second answer that begins with %x, want none", b)
 	}
-	there.SetReadDeadline(time.Now().Add(testTimeout))
-	w.conn = there
+	peerConn.SetReadDeadline(time.Now().Add(testTimeout))
+	w.conn = peerConn
 	w.sendRequest("order", 15000, "never answered, never read")
 	w.nextCommand("GET")
-	w.conn = quick
+	w.conn = readingConn
 	before := time.Now()
 	w.stop()
 	<-w.served
 	if took := time.Since(before); took > maxDrainTime+drainMargin+drainGrace+time.Second {
-		t.Errorf("shutdown took %v", took)
+		t.Errorf("shutdown took %v, want at most 1s more than the schedule", took)
 	}
 }
--- a/internal/director/timers.go
+++ b/internal/director/timers.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Routing's timers, and the goroutine that fires them and notices stalls of the process.
+// This file has routing's timers and the goroutine that fires them and detects stalls of the process.
 
 const (
 	timerInterval = 20 * time.Millisecond // longest time between two wakes of the timers' goroutine
-	noTimerWait   = time.Hour             // what due returns as the time left if no timer is set
+	noTimerWait   = time.Hour             // the time left that due returns if no timer is set
 )
 
 // setTimer sets a timer that calls routing with the token after the wait. Called under the director's mutex.
@@ -24,7 +24,7 @@
 	}
 }
 
-// due removes a timer that is due and returns its token. If none is due, it returns how long the next one has left. Called
+// due removes a timer that is due and returns its token. If none is due, it returns the time left until the next one. Called
 // under the director's mutex.
 func (c *clock) due(now time.Duration) (token uint32, ok bool, left time.Duration) {
 	if len(c.timers) == 0 {
@@ -36,10 +36,10 @@
 	return heap.Pop(&c.timers).(timer).token, true, 0
 }
 
-// timer is one call to routing at a set time.
+// timer is a scheduled call to routing.
 type timer struct {
 	due   time.Duration // since the director's start
-	token uint32        // routing's
+	token uint32        // passed to routing.Director.HandleTimer
 }
 
 // timers is a heap of timers, the earliest first; see container/heap.
@@ -55,7 +55,8 @@
 	return last
 }
 
-// runTimers fires routing's timers until the director stops. After a stall it waits until what arrived meanwhile is read.
+// runTimers fires routing's timers until the director stops. After a stall it first lets readers read the bytes that arrived
+// during it.
 func (d *Director) runTimers(stop <-chan struct{}) {
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -83,13 +84,13 @@
 	return catchUp
 }
 
-// noteStall logs a stall that ended just now, and records for each client connection whether nothing arrived during it.
+// noteStall logs a stall that has just ended, and records which client connections received nothing during it.
 func (d *Director) noteStall(now time.Duration) {
 	d.clients.each((*clientConn).noteIfEmpty)
-	d.connectionLog.line(d.log.WithField("for", now-d.clock.stalledFrom), "held back")
+	d.connectionLog.line(d.log.WithField("for", now-d.clock.stalledFrom), "process was stalled")
 }
 
-// fireTimers fires all timers that are due, and returns how long the next one has left.
+// fireTimers fires all timers that are due, and returns the time left until the next one.
 func (d *Director) fireTimers() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/director/watch.go
+++ b/internal/director/watch.go
@@ -10,19 +10,19 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// The watch of the journal service: one connection after the other, and its events, each applied once and in order.
+// This file watches the journal service over one connection after another, and applies its events once each and in order.
 
 const (
-	// watchSilenceTimeout is how long a connection may bring no frame. Frames come each second. A change must reach the
-	// director within 7 s, even if the first two connections bring nothing.
+	// watchSilenceTimeout is how long no frame may arrive on a connection. The service sends a frame each second. A change must
+	// reach the director within 7 s, even if nothing arrives on the first two connections.
 	watchSilenceTimeout = 1600 * time.Millisecond
-	watchRetryDelay     = 200 * time.Millisecond // before the next connection
+	watchRetryDelay     = 200 * time.Millisecond // between the end of a connection and the next dial
 	watchDialTimeout    = time.Second
 )
 
-// watchEnd tells how one connection to the journal service ended.
+// watchEnd is the result of one connection to the journal service.
 type watchEnd struct {
-	receivedEvents bool // at least one event arrived on it
+	receivedEvents bool // at least one event arrived
 	err            error
 }
 
@@ -30,9 +30,9 @@
 type discoveryWatch struct {
 	director     *Director
 	address      netip.AddrPort
-	number       int     // counts the moves of the service
-	loggedFault  string  // the last fault that was logged: a fault that repeats is logged once
-	localBackoff backoff // between tries that fail for faults of this host
+	number       int     // number of moves of the service so far
+	loggedFault  string  // the last error that was logged; a repeated error is logged once
+	localBackoff backoff // between dials that fail for faults of this host
 }
 
 // watchDiscovery watches the journal service, and follows it to new addresses, until the director stops.
@@ -42,12 +42,12 @@
 	}
 }
 
-// connectOnce makes one connection, and returns once it is time for the next one. It returns false once the director stops.
+// connectOnce makes one connection and returns when the next one is due. It returns false once the director stops.
 func (w *discoveryWatch) connectOnce(stop <-chan struct{}) bool {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel() // ends a dial or a read in progress
 	ended := make(chan watchEnd, 1)
-	go func(address netip.AddrPort, number int) { // arguments, as a move may change both fields before this runs
+	go func(address netip.AddrPort, number int) { // arguments, since a move may change both fields before this runs
 		receivedEvents, err := w.director.watchOnce(ctx, address, number)
 		ended <- watchEnd{receivedEvents, err}
 	}(w.address, w.number)
@@ -78,11 +78,11 @@
 	w.director.watchNumber = w.number
 }
 
-// logEnd logs the end of a connection, unless no event arrived on it and its fault was the last one logged.
+// logEnd logs the end of a connection, unless no event arrived on it and the same error was logged last.
 func (w *discoveryWatch) logEnd(end watchEnd) {
 	if fault := end.err.Error(); end.receivedEvents || fault != w.loggedFault {
 		w.loggedFault = fault
-		w.director.log.WithError(end.err).Warn("feed: lost, connecting until it is back")
+		w.director.log.WithError(end.err).Warn("feed: connection to the journal service lost, reconnecting")
 	}
 }
 
@@ -95,8 +95,8 @@
 	return watchRetryDelay
 }
 
-// watchOnce reads and applies the events of one connection until it ends, shows a gap or the context ends. It returns whether
-// any event arrived, and why it ended; the error is never nil.
+// watchOnce reads and applies the events of one connection until the connection ends, an event reveals a gap or the context
+// ends. It returns whether any event arrived, and the cause of the end, which is never nil.
 func (d *Director) watchOnce(ctx context.Context, address netip.AddrPort, watchNumber int) (receivedEvents bool, err error) {
 	socket, err := dialWithin(ctx, d.network, address.String(), watchDialTimeout)
 	if err != nil {
@@ -125,11 +125,11 @@
 	}
 }
 
-// handleEvent applies one event if it is the next one and belongs to the current watch. It ignores an event that was applied
-// before. It returns a discovery.Gap if the event shows that others are missing. The connection then ends, and the next one
-// starts from the last event applied. If that shows the same gap, the missing events are not available, and handleEvent
-// accepts the gap, as later events are better than none. An empty frame names the newest event: all events up to that number
-// should have arrived before.
+// handleEvent applies an event if it is the next one. It ignores an event of an earlier watch and an event that was applied
+// before. It returns a discovery.Gap if the event reveals that others are missing. The connection then ends, and the next one
+// starts from the last event applied. If the same gap appears again, the missing events are not available, and handleEvent
+// accepts the gap, since applying later events is better than applying none. An empty frame has the number of the newest event:
+// all events up to that number should have arrived before it.
 func (d *Director) handleEvent(watchNumber int, event discovery.Event) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -147,7 +147,7 @@
 		if empty {
 			return nil
 		}
-		d.log.WithError(gap).Warn("feed: taken all the same")
+		d.log.WithError(gap).Warn("feed: missing events are unavailable, continuing after the gap")
 	}
 	d.lastEvent = event.Number
 	d.applyEvent(event)
@@ -157,7 +157,7 @@
 // applyEvent passes an event on to the journal clock, routing and the pool. Called under the director's mutex.
 func (d *Director) applyEvent(event discovery.Event) {
 	now := d.clock.now()
-	d.journal.learn(now, event)
+	d.journal.updateOrigin(now, event)
 	if event.Purge != nil {
 		purgedAt := d.journal.since(now, event.Purge.StampUnix)
 		d.router.HandlePurge(now, event.Purge.Group, event.Purge.Object, now-purgedAt)
@@ -178,7 +178,7 @@
 	d.router.UpdateEndpoints(now, endpoints, event.Complete)
 }
 
-// endpointOf returns an endpoint that discovery lists in the form that routing uses.
+// endpointOf converts an endpoint that discovery lists to the form that routing uses.
 func (d *Director) endpointOf(now time.Duration, listed discovery.Endpoint) routing.Endpoint {
 	endpoint := routing.Endpoint{
 		Node:     listed.ID,
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -147,7 +147,7 @@
 				t.Fatal(err)
 			}
 			process.Process.Signal(syscall.SIGHUP)
-			process.waitLog(t, "level=error", "reload: faulty, the configuration in force stays", test.want)
+			process.waitLog(t, "level=error", "reload: invalid configuration, keeping the current one", test.want)
 			if !process.accepts() {
 				t.Error("the director no longer serves")
 			}
