--- a/internal/resp/allocs_test.go
+++ b/internal/resp/allocs_test.go
@@ -9,7 +9,7 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// TestAllocations bounds the allocations of each operation that a director, or a node, makes for an attempt.
+// TestAllocations bounds the allocations of each operation that a director or a node performs for an attempt.
 func TestAllocations(t *testing.T) {
 	request := Request{
 		ID: "d0-17", Class: "segment", Object: "7f3a9c21e0b4d655", Part: "12",
@@ -50,7 +50,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if got := testing.AllocsPerRun(100, test.run); got > test.max {
-				t.Errorf("%v allocations, want %v at most", got, test.max)
+				t.Errorf("got %v allocations, want at most %v", got, test.max)
 			}
 		})
 	}
--- a/internal/resp/bulk.go
+++ b/internal/resp/bulk.go
@@ -7,34 +7,34 @@
 	"strconv"
 )
 
-// A line of RESP that holds a length begins with a sign, which says what has the length. It ends with lineEnd, and so does a bulk
-// string.
+// In RESP, a line that holds a length begins with a prefix that names the type of the value: an array or a bulk string. The line
+// ends with lineEnd, and so does the content of a bulk string.
 const (
-	signArray = '*'
-	signBulk  = '$'
-	lineEnd   = "\r\n"
+	prefixArray = '*'
+	prefixBulk  = '$'
+	lineEnd     = "\r\n"
 )
 
-// appendArray appends the head of an array. The caller appends the bulk strings, as many as length says.
-func appendArray(b []byte, length int) []byte { return appendLength(b, signArray, length) }
+// appendArray appends the head of an array of the given length. The caller appends that many bulk strings.
+func appendArray(b []byte, length int) []byte { return appendLength(b, prefixArray, length) }
 
 // appendBulk appends a bulk string.
 func appendBulk[T string | []byte](b []byte, value T) []byte {
-	b = appendLength(b, signBulk, len(value))
+	b = appendLength(b, prefixBulk, len(value))
 	b = append(b, value...)
 	return append(b, lineEnd...)
 }
 
-// appendLength appends a line that holds a sign and a length.
-func appendLength(b []byte, sign byte, length int) []byte {
-	b = append(b, sign)
+// appendLength appends a line that holds a prefix and a length.
+func appendLength(b []byte, prefix byte, length int) []byte {
+	b = append(b, prefix)
 	b = strconv.AppendInt(b, int64(length), 10)
 	return append(b, lineEnd...)
 }
 
-// readLength reads a line that holds a sign and a length. It returns a *LimitError where the length exceeds the limit, ErrMalformed for
-// any other line than one with this sign and a length, and the error of the stream where that ends within the line.
-func readLength(in *bufio.Reader, sign byte, limit int) (int, error) {
+// readLength reads a line that holds the given prefix and a length. It returns a *LimitError if the length exceeds the limit,
+// ErrMalformed if the line has any other form, and the stream's error if the stream ends within the line.
+func readLength(in *bufio.Reader, prefix byte, limit int) (int, error) {
 	line, err := in.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
 		return 0, ErrMalformed
@@ -47,7 +47,7 @@
 		return 0, ErrMalformed
 	}
 	digits, ended := bytes.CutSuffix(line[1:], []byte(lineEnd))
-	if line[0] != sign || !ended {
+	if line[0] != prefix || !ended {
 		return 0, ErrMalformed
 	}
 	length, err := strconv.ParseUint(string(digits), 10, lengthBits)
@@ -60,10 +60,10 @@
 	return int(length), nil
 }
 
-// readBulk reads a bulk string of up to limit bytes. It allocates no more than that, whatever length is announced. It returns the same
+// readBulk reads a bulk string of up to limit bytes. It rejects a longer announced length before it allocates. It returns the same
 // errors as readLength.
 func readBulk(in *bufio.Reader, limit int) ([]byte, error) {
-	length, err := readLength(in, signBulk, limit)
+	length, err := readLength(in, prefixBulk, limit)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/resp/fields.go
+++ b/internal/resp/fields.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// appendName appends the start of a field: its name and, where another field precedes it, the separator before it.
+// appendName appends the start of a field: a separator if another field precedes it, its name and the value separator.
 func appendName(fields []byte, name string) []byte {
 	if len(fields) > 0 {
 		fields = append(fields, fieldSeparator...)
@@ -26,7 +26,7 @@
 }
 
 // parseFields calls set with the name and the value of each field, and returns the first error of set. Name and value are slices of
-// fields, so set must copy what it keeps. A field without a value is ErrMalformed.
+// fields, so set must copy them to retain them. It returns ErrMalformed for a field without a value.
 func parseFields(fields []byte, set func(name, value []byte) error) error {
 	if len(fields) == 0 || string(fields) == noFields {
 		return nil
--- a/internal/resp/node.go
+++ b/internal/resp/node.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// This file has the nodes' side of the protocol, for emulators of nodes.
+// This file has the nodes' side of the protocol, which emulators of nodes use.
 
 // Command is a message to a node: a request, the cancellation of a request, or a health check.
 type Command struct {
-	Request          // of a cancellation or a health check only the ID is set
+	Request          // for a cancellation or a health check, only the ID is set
 	Cancel      bool // the command cancels the request with the ID
-	HealthCheck bool // the command is a health check, whose tag is the ID
+	HealthCheck bool // the command is a health check with the ID as its tag
 }
 
 // ReadCommand reads the next command of a stream. It returns the same errors as ReadResponse.
@@ -26,7 +26,7 @@
 	return command, unexpectedEOF(err)
 }
 
-// Positions of a command's bulk strings. Only a request has the last two.
+// Positions of the bulk strings in a command. Only a request has the last two.
 const (
 	nameWord = iota
 	idWord
@@ -36,7 +36,7 @@
 
 // read reads the bulk strings of a command.
 func (c *Command) read(in *bufio.Reader) error {
-	length, err := readLength(in, signArray, maxCommand)
+	length, err := readLength(in, prefixArray, maxCommand)
 	if err != nil {
 		return err
 	}
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// setField sets one field of a request. It ignores fields of unknown names, and a number that cannot be read is 0: emulated nodes serve
-// as many requests as they can.
+// setField sets one field of a request. It ignores fields with unknown names and sets an invalid number to 0, since emulated nodes
+// serve as many requests as possible.
 func (c *Command) setField(name, value []byte) error {
 	switch string(name) {
 	case fieldClass:
@@ -81,9 +81,9 @@
 		c.IdempotencyKey = string(value)
 	case fieldSource:
 		c.Source = string(value)
-	case fieldRank:
-		rank, _ := strconv.Atoi(string(value))
-		c.Order.CachePriority = uint8(rank)
+	case fieldCachePriority:
+		priority, _ := strconv.Atoi(string(value))
+		c.Order.CachePriority = uint8(priority)
 	case fieldMaxAge:
 		c.Order.MaxAge = parseMilliseconds(value)
 	case fieldETag:
@@ -99,7 +99,7 @@
 // setOption sets one option of a request. It ignores unknown options.
 func (c *Command) setOption(option []byte) {
 	switch string(option) {
-	case optionCoalesce:
+	case optionCollapse:
 		c.Order.CollapseFills = true
 	case optionOnlyIfCached:
 		c.Order.OnlyIfCached = true
@@ -108,7 +108,7 @@
 	}
 }
 
-// parseMilliseconds reads a duration in whole milliseconds. One that cannot be read is 0.
+// parseMilliseconds parses a duration in whole milliseconds. It returns 0 for an invalid one.
 func parseMilliseconds(value []byte) time.Duration {
 	const bits = 62
 	milliseconds, _ := strconv.ParseInt(string(value), 10, bits)
--- a/internal/resp/protocol.go
+++ b/internal/resp/protocol.go
@@ -1,5 +1,5 @@
-// Package resp is the codec of the cache nodes' protocol: RESP arrays of bulk strings. It writes requests to nodes and reads their
-// responses; it makes no decisions and opens no sockets. No other package uses the names of the nodes' protocol.
+// Package resp is the codec of the cache nodes' protocol, which consists of RESP arrays of bulk strings. It encodes requests to nodes
+// and decodes their responses; it makes no decisions and opens no sockets. No other package uses the names of the nodes' protocol.
 package resp
 
 import (
@@ -14,26 +14,26 @@
 const (
 	maxID          = 64        // bytes of a response's id
 	maxStatus      = 16        // bytes of a response's status
-	maxFields      = 4 << 10   // bytes of the fields of a response or a command, and of a command's other words
+	maxFields      = 4 << 10   // bytes of the fields of a response or a command, and of a command's name and id
 	maxBody        = 256 << 10 // bytes of a response's body
 	maxRequestBody = 48000     // bytes of a request's body
 	maxLineSize    = 16        // bytes of a line that holds a length
 	lengthBits     = 31        // bits of a length
 )
 
-// Lengths of messages, in bulk strings.
+// Numbers of bulk strings in messages.
 const (
 	responseWords = 4        // of a response: id, status, fields, body
 	getWords      = 4        // of a request: GET, id, fields, body
 	shortWords    = 2        // of a cancellation or a health check: command, id
-	maxCommand    = getWords // of the longest command
+	maxCommand    = getWords // maximum of all commands
 )
 
-// ErrMalformed is the error for bytes that are not RESP, or for RESP that the protocol does not allow at its place. Errors with details
-// wrap it.
+// ErrMalformed is the error for bytes that are not RESP, or for a RESP value that the protocol does not allow in its position. Errors
+// with details wrap it.
 var ErrMalformed = errors.New("resp: malformed message")
 
-// LimitError is the error for a length over its limit. Length and Limit are in bytes or, for an array, in bulk strings.
+// LimitError is the error for a length that exceeds its limit. Length and Limit are in bytes or, for an array, in bulk strings.
 type LimitError struct {
 	Length int
 	Limit  int
@@ -41,7 +41,7 @@
 
 // Error names the length and the limit.
 func (e *LimitError) Error() string {
-	return fmt.Sprintf("resp: a length of %d exceeds the limit of %d", e.Length, e.Limit)
+	return fmt.Sprintf("resp: length %d exceeds the limit of %d", e.Length, e.Limit)
 }
 
 // unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, and any other error as it is. io.EOF itself means that a stream ended between
@@ -53,7 +53,7 @@
 	return err
 }
 
-// Commands, the first bulk string of a message to a node.
+// Commands. The command is the first bulk string of a message to a node.
 const (
 	commandGet  = "GET"  // request
 	commandDrop = "DROP" // cancellation of a request
@@ -68,7 +68,7 @@
 	fieldTimeout        = "w" // milliseconds
 	fieldIdempotencyKey = "i"
 	fieldSource         = "next"
-	fieldRank           = "admit"
+	fieldCachePriority  = "admit"
 	fieldMaxAge         = "agelim" // milliseconds
 	fieldOptions        = "ways"   // separated by optionSeparator
 	fieldETag           = "cached"
@@ -76,7 +76,7 @@
 
 // Options of a request.
 const (
-	optionCoalesce     = "collapse"
+	optionCollapse     = "collapse"
 	optionOnlyIfCached = "only-if-cached"
 	optionRevalidate   = "refresh"
 	optionSeparator    = "+"
@@ -86,28 +86,28 @@
 const (
 	fieldFill    = "note"
 	fieldWaited  = "slow" // milliseconds, with decimals
-	fieldFetched = "t0"   // Unix millisecond
+	fieldFetched = "t0"   // Unix milliseconds
 )
 
-// Separators of fields, and the text that stands for no fields.
+// Separators in the fields of a message, and the text for a message without fields.
 const (
 	fieldSeparator = ","
 	valueSeparator = "="
 	noFields       = "-"
 )
 
-// Status is what a node did with a request.
+// Status is the result of a request at a node.
 type Status uint8
 
 // Statuses of a response.
 const (
-	Hit             Status = iota // served: the body is the copy
-	NotModified                   // served: the client's own copy is still valid
+	Hit             Status = iota // served; the body is the object
+	NotModified                   // served; the client's own copy is still valid
 	Miss                          // cache miss; not executed
 	Rejected                      // rejected; not executed
 	Failed                        // failed; may have been executed
 	AlreadyFinished               // the request had finished already; this attempt was not executed
-	Pong                          // response to a health check: the node runs
+	Pong                          // response to a health check
 )
 
 // statusNames are the names of statuses in messages.
@@ -121,8 +121,8 @@
 	Pong:            "PONG",
 }
 
-// statuses are the statuses by their names in messages.
-var statuses = func() map[string]Status {
+// statusByName has the statuses by their names in messages.
+var statusByName = func() map[string]Status {
 	byName := map[string]Status{}
 	for status, name := range statusNames {
 		byName[name] = Status(status)
@@ -130,8 +130,8 @@
 	return byName
 }()
 
-// fills are the cache statuses by their names in messages.
-var fills = map[string]routing.Fill{
+// fillByName has the cache statuses by their names in messages.
+var fillByName = map[string]routing.Fill{
 	"cached":       routing.CacheHit,
 	"fetched":      routing.Filled,
 	"fetched_root": routing.FilledByOrigin,
@@ -147,7 +147,7 @@
 // fillNames are the names of cache statuses in messages. routing.FillUnknown has none.
 var fillNames = func() map[routing.Fill]string {
 	names := map[routing.Fill]string{}
-	for name, fill := range fills {
+	for name, fill := range fillByName {
 		names[fill] = name
 	}
 	return names
--- a/internal/resp/request.go
+++ b/internal/resp/request.go
@@ -6,8 +6,8 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// Request is one attempt of a request as a node gets it. Class, Object, Part, IdempotencyKey, ETag and Body are forwarded as they are in
-// the client's message.
+// Request is one attempt of a request in the form in which a node receives it. Class, Object, Part, IdempotencyKey, ETag and Body are
+// forwarded unchanged from the client's message.
 type Request struct {
 	ID             string
 	Class          string
@@ -24,7 +24,7 @@
 // requestFieldsBytes is the initial capacity for the fields of a request, in bytes. It is enough for most requests.
 const requestFieldsBytes = 160
 
-// AppendRequest appends a request. Durations are written in whole milliseconds, and as 1 where they are shorter, since 0 would mean no
+// AppendRequest appends a request. Durations are written in whole milliseconds. Shorter ones are written as 1, since 0 would mean no
 // limit.
 func AppendRequest(b []byte, request *Request) []byte {
 	fields := make([]byte, 0, requestFieldsBytes)
@@ -41,7 +41,7 @@
 		fields = appendText(fields, fieldSource, request.Source)
 	}
 	if request.Order.CachePriority > 0 {
-		fields = appendInt(fields, fieldRank, int64(request.Order.CachePriority))
+		fields = appendInt(fields, fieldCachePriority, int64(request.Order.CachePriority))
 	}
 	if request.Order.MaxAge > 0 {
 		fields = appendMilliseconds(fields, fieldMaxAge, request.Order.MaxAge)
@@ -68,7 +68,7 @@
 		set  bool
 		name string
 	}{
-		{order.CollapseFills, optionCoalesce},
+		{order.CollapseFills, optionCollapse},
 		{order.OnlyIfCached, optionOnlyIfCached},
 		{order.Revalidate, optionRevalidate},
 	}
@@ -88,7 +88,7 @@
 	return fields
 }
 
-// AppendHealthCheck appends a health check. A node that runs responds with Pong, and with the tag as id.
+// AppendHealthCheck appends a health check. A node that runs responds with the status Pong and the tag as id.
 func AppendHealthCheck(b []byte, tag string) []byte { return appendCommand(b, commandPing, tag) }
 
 // AppendCancel appends the cancellation of a request. Nodes do not respond to it.
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -29,8 +29,8 @@
 	return ReadResponse(bufio.NewReaderSize(strings.NewReader(text), 32))
 }
 
-// TestResponses: fields are read whatever the body holds, and unknown fields are ignored.
-func TestResponses(t *testing.T) {
+// TestReadResponse checks that fields are read with any body, and that unknown fields are ignored.
+func TestReadResponse(t *testing.T) {
 	readsAsWritten := func(body []byte, waited uint16) bool {
 		fields := fmt.Sprintf("note=fetched_root,slow=%d,t0=1764576000123,load=util:0.6;x1:2,new=1", waited)
 		response, err := readResponse(array("9b1f", "HIT", fields, string(body)))
@@ -49,12 +49,12 @@
 	}
 	response, err := readResponse(array("1", "NONE", "-", ""))
 	if err != nil || response.Status != Miss || response.Fill != routing.FillUnknown {
-		t.Errorf("%+v, error %v, want a miss with an unknown cache status", response, err)
+		t.Errorf("got %+v, error %v, want a miss with an unknown cache status", response, err)
 	}
 }
 
-// TestCutAnywhere: a stream that ends within a response is io.ErrUnexpectedEOF, one that ends before it io.EOF.
-func TestCutAnywhere(t *testing.T) {
+// TestReadTruncatedResponse checks that a stream that ends within a response gives io.ErrUnexpectedEOF, and an empty one io.EOF.
+func TestReadTruncatedResponse(t *testing.T) {
 	complete := array("9b1f", "HIT", "note=cached", "body")
 	for length := range complete {
 		want := io.ErrUnexpectedEOF
@@ -62,14 +62,14 @@
 			want = io.EOF
 		}
 		if _, err := readResponse(complete[:length]); err != want {
-			t.Errorf("cut at %d: %v, want %v", length, err, want)
+			t.Errorf("truncated at %d: got %v, want %v", length, err, want)
 		}
 	}
 }
 
-// TestHostileResponses: responses that break the protocol are errors. Lengths over their limits are rejected before that much memory is
-// allocated.
-func TestHostileResponses(t *testing.T) {
+// TestReadMalformedResponse checks that responses that violate the protocol are errors. A length over its limit must be rejected
+// before that much memory is allocated.
+func TestReadMalformedResponse(t *testing.T) {
 	cases := []struct {
 		name  string
 		in    string
@@ -78,18 +78,18 @@
 		{"five bulk strings", "*5\r\n", responseWords},
 		{"three bulk strings", "*3\r\n", 0},
 		{"negative count", "*-1\r\n", 0},
-		{"no array", "$1\r\n", 0},
+		{"not an array", "$1\r\n", 0},
 		{"no carriage return", "*4\n", 0},
 		{"id of 100 MB", "*4\r\n$99999999\r\n", maxID},
 		{"id of negative length", "*4\r\n$-1\r\n", 0},
 		{"simple string", "+OK\r\n", 0},
 		{"unknown status", array("1", "HITS", "-", ""), 0},
 		{"field without a value", array("1", "HIT", "note", ""), 0},
-		{"span that is no number", array("1", "HIT", "slow=x", ""), 0},
-		{"negative span", array("1", "HIT", "slow=-1", ""), 0},
-		{"span of no number", array("1", "HIT", "slow=NaN", ""), 0},
-		{"span of eleven days", array("1", "HIT", "slow=1e9", ""), 0},
-		{"time that is no number", array("1", "HIT", "t0=x", ""), 0},
+		{"duration that is not a number", array("1", "HIT", "slow=x", ""), 0},
+		{"negative duration", array("1", "HIT", "slow=-1", ""), 0},
+		{"duration of NaN", array("1", "HIT", "slow=NaN", ""), 0},
+		{"duration of eleven days", array("1", "HIT", "slow=1e9", ""), 0},
+		{"time that is not a number", array("1", "HIT", "t0=x", ""), 0},
 		{"line without an end", strings.Repeat("*", 99), 0},
 		{"body longer than its length", "*4\r\n$1\r\n1\r\n$3\r\nHIT\r\n$1\r\n-\r\n$2\r\nbody\r\n", 0},
 		{"id over the limit", array(strings.Repeat("1", 65), "HIT", "-", ""), maxID},
@@ -101,16 +101,16 @@
 			var limit *LimitError
 			switch {
 			case test.limit == 0 && !errors.Is(err, ErrMalformed):
-				t.Errorf("%+v, error %v, want ErrMalformed", response, err)
+				t.Errorf("got %+v, error %v, want ErrMalformed", response, err)
 			case test.limit > 0 && (!errors.As(err, &limit) || limit.Limit != test.limit):
-				t.Errorf("%+v, error %v, want a *LimitError of %d", response, err, test.limit)
+				t.Errorf("got %+v, error %v, want a *LimitError with limit %d", response, err, test.limit)
 			}
 		})
 	}
 }
 
-// TestCommands: each command has the bytes of the protocol, and reading it gives the same command.
-func TestCommands(t *testing.T) {
+// TestCommandRoundTrip checks that each command is encoded as in the protocol, and that reading it gives the same command.
+func TestCommandRoundTrip(t *testing.T) {
 	cases := []struct {
 		name    string
 		command Command
@@ -132,7 +132,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			got := string(encode(&test.command))
 			if want := array(test.want...); got != want {
-				t.Fatalf("%q, want %q", got, want)
+				t.Fatalf("got %q, want %q", got, want)
 			}
 			read, err := ReadCommand(bufio.NewReader(strings.NewReader(got)))
 			want := test.command
@@ -140,7 +140,7 @@
 				want.Body = []byte{}
 			}
 			if err != nil || !reflect.DeepEqual(read, want) {
-				t.Errorf("read as %+v, error %v, want %+v", read, err, want)
+				t.Errorf("read back: got %+v, error %v, want %+v", read, err, want)
 			}
 		})
 	}
@@ -157,16 +157,16 @@
 	return AppendRequest(nil, &command.Request)
 }
 
-// TestShortDurations: a duration below a millisecond is written as one, since 0 would mean no limit.
-func TestShortDurations(t *testing.T) {
+// TestAppendRequestWithShortDurations checks that a duration below a millisecond is written as 1, since 0 would mean no limit.
+func TestAppendRequestWithShortDurations(t *testing.T) {
 	request := Request{ID: "9b", Class: "v", Object: "7f", Timeout: time.Microsecond, Order: routing.AttemptOrder{MaxAge: time.Microsecond}}
 	if got, want := string(AppendRequest(nil, &request)), array("GET", "9b", "c=v,k=7f,w=1,agelim=1", ""); got != want {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// TestHostileCommands: commands that break the protocol are errors.
-func TestHostileCommands(t *testing.T) {
+// TestReadMalformedCommand checks that commands that violate the protocol are errors.
+func TestReadMalformedCommand(t *testing.T) {
 	cases := []struct{ name, in string }{
 		{"empty array", "*0\r\n"},
 		{"unknown command", array("PUT", "1")},
@@ -177,7 +177,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if command, err := ReadCommand(bufio.NewReader(strings.NewReader(test.in))); !errors.Is(err, ErrMalformed) {
-				t.Errorf("%+v, error %v, want ErrMalformed", command, err)
+				t.Errorf("got %+v, error %v, want ErrMalformed", command, err)
 			}
 		})
 	}
--- a/internal/resp/response.go
+++ b/internal/resp/response.go
@@ -15,13 +15,13 @@
 	Status  Status
 	Fill    routing.Fill
 	Waited  time.Duration // time until the first byte, or the failure, of the source; 0: not reported
-	Fetched int64         // Unix millisecond at which the origin sent this copy; 0: not reported
+	Fetched int64         // Unix milliseconds at which the origin sent this copy; 0: not reported
 	Body    []byte
 }
 
-// ReadResponse reads the next response of a stream. It returns io.EOF itself where the stream ends between responses,
-// io.ErrUnexpectedEOF where it ends within one, and an error that wraps ErrMalformed or a *LimitError for a response that breaks the
-// protocol. After an error the stream cannot be read further.
+// ReadResponse reads the next response of a stream. It returns io.EOF if the stream ends between responses, io.ErrUnexpectedEOF if it
+// ends within one, and ErrMalformed, possibly wrapped, or a *LimitError for a response that violates the protocol. After an error the
+// stream must not be read further.
 func ReadResponse(in *bufio.Reader) (response Response, err error) {
 	if _, err := in.Peek(1); err != nil {
 		return response, err
@@ -32,7 +32,7 @@
 
 // read reads the four bulk strings of a response.
 func (r *Response) read(in *bufio.Reader) error {
-	length, err := readLength(in, signArray, responseWords)
+	length, err := readLength(in, prefixArray, responseWords)
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 		return err
 	}
 	var known bool
-	if r.Status, known = statuses[string(status)]; !known {
+	if r.Status, known = statusByName[string(status)]; !known {
 		return fmt.Errorf("%w: unknown status %q", ErrMalformed, status)
 	}
 	fields, err := readBulk(in, maxFields)
@@ -63,11 +63,11 @@
 	return err
 }
 
-// setField sets one field of a response. It ignores fields of unknown names, so that nodes may report more.
+// setField sets one field of a response. It ignores fields with unknown names, so that nodes may add fields.
 func (r *Response) setField(name, value []byte) error {
 	switch string(name) {
 	case fieldFill:
-		r.Fill = fills[string(value)] // routing.FillUnknown for an unknown name
+		r.Fill = fillByName[string(value)] // routing.FillUnknown for an unknown name
 	case fieldWaited:
 		waited, err := parseWaited(value)
 		if err != nil {
@@ -77,21 +77,21 @@
 	case fieldFetched:
 		fetched, err := strconv.ParseInt(string(value), 10, 64)
 		if err != nil {
-			return fmt.Errorf("%w: %s: %q is no time", ErrMalformed, name, value)
+			return fmt.Errorf("%w: %s: %q is not a Unix time in milliseconds", ErrMalformed, name, value)
 		}
 		r.Fetched = fetched
 	}
 	return nil
 }
 
-// parseWaited reads a duration in milliseconds, with decimals. It rejects durations that no request can have waited, and with them NaN
-// and infinity, since their conversion to a time.Duration could overflow.
+// parseWaited parses a duration in milliseconds, with decimals. It rejects negative and impossibly long durations, NaN and infinity,
+// since the conversion to a time.Duration could overflow.
 func parseWaited(value []byte) (time.Duration, error) {
 	const tooLong = 1e9 // milliseconds; eleven days
 	milliseconds, err := strconv.ParseFloat(string(value), 64)
 	inRange := milliseconds >= 0 && milliseconds < tooLong // false for NaN
 	if err != nil || !inRange {
-		return 0, fmt.Errorf("%w: %s: %q is no span", ErrMalformed, fieldWaited, value)
+		return 0, fmt.Errorf("%w: %s: %q is not a duration in milliseconds", ErrMalformed, fieldWaited, value)
 	}
 	return time.Duration(milliseconds * float64(time.Millisecond)), nil
 }
