--- a/internal/msgpack/allocs_test.go
+++ b/internal/msgpack/allocs_test.go
@@ -11,7 +11,7 @@
 // sink makes results escape to the heap, so that their allocations are counted.
 var sink []byte
 
-// TestAllocations bounds the allocations of each operation that a director makes for a request.
+// TestAllocations bounds the allocations of each operation that a director performs for a request.
 func TestAllocations(t *testing.T) {
 	message := Message{ID: 7, Class: "segment", RequestID: "9b1f", Timeout: time.Second, IdempotencyKey: "k", Object: "7f3a9c21e0b4d655", Part: "3",
 		Group: "17", ETag: "ab", Body: make([]byte, 300)}
@@ -58,7 +58,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if got := testing.AllocsPerRun(100, test.run); got > test.max {
-				t.Errorf("%v allocations, want %v at most", got, test.max)
+				t.Errorf("got %v allocations, want at most %v", got, test.max)
 			}
 		})
 	}
--- a/internal/msgpack/client.go
+++ b/internal/msgpack/client.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// This file has the clients' side of the protocol, for emulators of clients.
+// This file has the clients' side of the protocol, which emulators of clients use.
 
-// AppendRequest appends a request as a client writes it. It leaves out empty fields.
+// AppendRequest appends a request as a client encodes it. It omits empty fields.
 func AppendRequest(b []byte, message *Message) []byte {
 	fields := [...]struct{ name, value string }{
 		{fieldRequestID, message.RequestID},
@@ -56,9 +56,9 @@
 // Response is a director's response as its client reads it.
 type Response struct {
 	ID          uint32
-	Rejected    bool          // the request was not executed; of a readiness check: not ready
+	Rejected    bool          // the request was not executed; for a readiness check: the director is not ready
 	Failed      bool          // the request may have been executed
-	RetryAfter  time.Duration // of a rejection: time after which to retry; 0: not stated
+	RetryAfter  time.Duration // for a rejection: time after which to retry; 0: not stated
 	NotModified bool          // the client's own copy is still valid
 	Body        []byte
 }
@@ -158,7 +158,7 @@
 	return err
 }
 
-// responseFields reads a map of strings into fields. Directors write such a map in the shortest form; any other form is ErrMalformed.
+// responseFields reads a map of strings into fields. Directors encode such a map as a fixmap; any other format is ErrMalformed.
 func (r *Reader) responseFields(fields map[string]string) error {
 	format, err := r.in.ReadByte()
 	if err != nil {
--- a/internal/msgpack/decode.go
+++ b/internal/msgpack/decode.go
@@ -6,8 +6,8 @@
 	"io"
 )
 
-// Reader reads messages from a stream. Its unexported methods read single values. Each checks a length against its limit before it
-// allocates, so that a sender cannot make a director allocate more than the limits, whatever length it announces.
+// Reader reads messages from a stream. Its unexported methods read single values. Each checks an announced length against its limit
+// before it allocates, so that a sender cannot make a director allocate more than the limit.
 type Reader struct{ in *bufio.Reader }
 
 // NewReader returns a Reader of a stream. Nothing else may read the stream while the Reader is in use.
@@ -30,7 +30,7 @@
 	return 0, ErrMalformed
 }
 
-// array reads the head of an array and checks that it has maxItems values at most.
+// array reads the head of an array and checks that it has at most maxItems values.
 func (r *Reader) array() (int, error) {
 	values, err := r.arrayHead()
 	if err == nil {
@@ -68,7 +68,7 @@
 	return binary.BigEndian.Uint64(raw[:]), nil
 }
 
-// length reads the length of a value from 1, 2 or 4 bytes, and checks that it is maxLength at most.
+// length reads the length of a value from 1, 2 or 4 bytes, and checks that it is at most maxLength.
 func (r *Reader) length(width int) (int, error) {
 	length, err := r.number(width)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return int(length), checkLimit(int(length), maxLength, "bytes or values")
 }
 
-// uint reads an integer of any width. A negative one is ErrMalformed.
+// uint reads an integer of any width. It returns ErrMalformed for a negative one.
 func (r *Reader) uint() (uint64, error) {
 	format, err := r.in.ReadByte()
 	if err != nil {
@@ -94,7 +94,7 @@
 	return 0, ErrMalformed
 }
 
-// signed reads a signed number of 1, 2, 4 or 8 bytes. A negative one is ErrMalformed.
+// signed reads a signed number of 1, 2, 4 or 8 bytes. It returns ErrMalformed for a negative one.
 func (r *Reader) signed(width int) (uint64, error) {
 	value, err := r.number(width)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return value, nil
 }
 
-// id reads the id of a message, of 32 bits at most.
+// id reads the id of a message, which has at most 32 bits.
 func (r *Reader) id() (uint32, error) {
 	id, err := r.uint()
 	if err != nil {
@@ -157,14 +157,14 @@
 	return value, err
 }
 
-// text reads what bytes reads, and returns it as a string.
+// text is bytes with a string as the result.
 func (r *Reader) text(limit int) (string, error) {
 	value, err := r.bytes(limit)
 	return string(value), err
 }
 
-// skip reads past one unused value of any format. Depth is the number of arrays and maps around it. A depth over maxDepth is
-// ErrMalformed, since each level costs a recursive call.
+// skip discards one unused value of any format. depth is the number of arrays and maps that contain it. A depth over maxDepth is
+// ErrMalformed, since each level needs a recursive call.
 func (r *Reader) skip(depth int) error {
 	if depth > maxDepth {
 		return ErrMalformed
@@ -177,10 +177,10 @@
 	if err != nil {
 		return err
 	}
-	if err := checkLimit(bytes, maxBody, "bytes of a value that is not used"); err != nil {
+	if err := checkLimit(bytes, maxBody, "bytes of an unused value"); err != nil {
 		return err
 	}
-	if err := checkLimit(items, maxItems, "items of a value that is not used"); err != nil {
+	if err := checkLimit(items, maxItems, "items of an unused value"); err != nil {
 		return err
 	}
 	if _, err := r.in.Discard(bytes); err != nil {
@@ -194,12 +194,12 @@
 	return nil
 }
 
-// extent returns what follows the format of a value: a number of bytes or, for an array or a map, a number of values. Where the format
-// is followed by a length, extent reads the length.
+// extent returns the size of the data that follows the format of a value: a number of bytes or, for an array or a map, a number of
+// values. If a length follows the format, extent reads it.
 func (r *Reader) extent(format byte) (bytes, items int, err error) {
 	switch {
-	case format < formatFixIntEnd, format >= formatNegativeFix: // the format is the value
-	case format == formatNil, format == formatFalse, format == formatTrue: // likewise
+	case format < formatFixIntEnd, format >= formatNegativeFix: // the format is the whole value
+	case format == formatNil, format == formatFalse, format == formatTrue: // the format is the whole value
 	case isFixMap(format):
 		items = 2 * int(format&maxFixMap)
 	case isFixArray(format):
--- a/internal/msgpack/encode.go
+++ b/internal/msgpack/encode.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// maxText is the longest text that AppendText writes, in bytes.
+// maxText is the length in bytes of the longest text that AppendText writes.
 const maxText = 1<<8 - 1
 
 // AppendUint appends an unsigned integer in its shortest form.
@@ -49,7 +49,7 @@
 	return append(appendBytesHead(b, len(raw)), raw...)
 }
 
-// appendBytesHead appends the head of a byte string. The caller appends the bytes, as many as length says.
+// appendBytesHead appends the head of a byte string of the given length. The caller appends that many bytes.
 func appendBytesHead(b []byte, length int) []byte {
 	return binary.BigEndian.AppendUint32(append(b, formatBin32), uint32(length))
 }
--- a/internal/msgpack/format.go
+++ b/internal/msgpack/format.go
@@ -1,10 +1,10 @@
 package msgpack
 
-// Formats of MessagePack. The format is the first byte of a value. Formats whose name has Fix hold a number or a length in their low
-// bits, except formatFixExt1 to formatFixExt16, which state a length in bytes. In the other names, the number is the width in bits of
-// the number or length that follows.
+// Formats of MessagePack. The format is the first byte of a value. Formats with Fix in their name hold a number or a length in their
+// low bits, except formatFixExt1 to formatFixExt16, whose names state the length of the data in bytes. In the other names, the number
+// is the width in bits of the number or length that follows.
 const (
-	formatFixIntEnd   = 0x80 // each format below it is an integer, 0 to 127
+	formatFixIntEnd   = 0x80 // each lower format is an integer from 0 to 127
 	formatFixMap      = 0x80
 	formatFixArray    = 0x90
 	formatFixText     = 0xa0
@@ -33,10 +33,10 @@
 	formatArray32     = 0xdd
 	formatMap16       = 0xde
 	formatMap32       = 0xdf
-	formatNegativeFix = 0xe0 // each format from it on is a negative integer, -32 to -1
+	formatNegativeFix = 0xe0 // this and each higher format is an integer from -32 to -1
 )
 
-// Largest lengths that the fix formats hold. Each is also the mask of the bits that hold the length.
+// Largest lengths that the fix formats can hold. Each is also the mask of the bits that hold the length.
 const (
 	maxFixArray = 1<<4 - 1
 	maxFixMap   = 1<<4 - 1
@@ -51,6 +51,6 @@
 // between reports whether a format is in the range from first to last, both included.
 func between(format, first, last byte) bool { return first <= format && format <= last }
 
-// widthFrom returns the number of bytes that follow a format. First is the first format of a range: one byte follows it, and twice as
-// many follow each next format.
+// widthFrom returns the number of bytes that follow a format. first is the first format of a range; it is followed by one byte, and
+// each further format of the range by twice as many as the one before.
 func widthFrom(format, first byte) int { return 1 << (format - first) }
--- a/internal/msgpack/message.go
+++ b/internal/msgpack/message.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Read returns the next message of a client. It returns io.EOF itself where the stream ends between messages, io.ErrUnexpectedEOF where
-// it ends within one, and ErrMalformed or a *LimitError for a message that breaks the protocol. After an error the stream cannot be
-// read further. The message returned with an error has the fields that were read, so that the request can be failed.
+// Read returns the next message of a client. It returns io.EOF if the stream ends between messages, io.ErrUnexpectedEOF if it ends
+// within one, and ErrMalformed or a *LimitError for a message that violates the protocol. After an error the stream must not be read
+// further. The message returned with an error has the fields that were read, so that the caller can answer with a failure.
 func (r *Reader) Read() (message Message, err error) {
 	if _, err := r.in.Peek(1); err != nil {
 		return message, err
@@ -16,7 +16,7 @@
 	return message, unexpectedEOF(err)
 }
 
-// messageHead reads the number of values of a message and the first value, its type.
+// messageHead reads the number of values of a message and its first value, which is its type.
 func (r *Reader) messageHead() (values int, messageType uint64, err error) {
 	if values, err = r.array(); err != nil {
 		return 0, 0, err
@@ -55,8 +55,8 @@
 	return r.arguments(message)
 }
 
-// arguments reads the fields and the body of a request. A readiness check needs neither. Further arguments, which a later version of
-// the protocol may add, are skipped.
+// arguments reads the fields and the body of a request. A readiness check needs neither. It skips further arguments, which a later
+// version of the protocol may add.
 func (r *Reader) arguments(message *Message) error {
 	count, err := r.array()
 	if err != nil {
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// fields reads the map of a request's fields. Names and values are strings.
+// fields reads the map of a request's fields, whose names and values are strings.
 func (r *Reader) fields(message *Message) error {
 	count, err := r.mapHead()
 	if err != nil {
@@ -138,13 +138,13 @@
 	return nil
 }
 
-// setField sets one field of a request. It ignores fields of unknown names.
+// setField sets one field of a request. It ignores fields with unknown names.
 func (m *Message) setField(name, value string) {
 	switch name {
 	case fieldRequestID:
 		m.RequestID = value
 	case fieldTimeout:
-		m.Timeout, _ = parseMilliseconds(value) // 0 where it is unreadable: the same response as for a missing one
+		m.Timeout, _ = parseMilliseconds(value) // 0 if it is invalid, so that the response is the same as for a missing one
 	case fieldIdempotencyKey:
 		m.IdempotencyKey = value
 	case fieldObject:
@@ -158,7 +158,7 @@
 	}
 }
 
-// parseMilliseconds reads a duration in whole milliseconds, of 31 bits at most. It returns 0 with an error.
+// parseMilliseconds parses a duration in whole milliseconds, of at most 31 bits. It returns 0 with an error.
 func parseMilliseconds(text string) (time.Duration, error) {
 	const bits = 31
 	milliseconds, err := strconv.ParseUint(text, 10, bits)
--- a/internal/msgpack/message_test.go
+++ b/internal/msgpack/message_test.go
@@ -18,10 +18,10 @@
 // quickConfig generates the same values in each run.
 var quickConfig = &quick.Config{MaxCount: 300, Rand: rand.New(rand.NewSource(1))}
 
-// The helpers below write formats as numbers of their own, so that a wrong constant of the package is found.
+// The helpers below write formats as literal numbers instead of the package's constants, so that the tests detect a wrong constant.
 
-// appendWide appends a format and a length. The width chooses the format, counted from the one given, and the bytes of the length: 1,
-// 2 or 4 for a width of 0, 1 or 2.
+// appendWide appends a format and a length. The width, 0, 1 or 2, is added to the given format and makes the length 1, 2 or 4 bytes
+// long.
 func appendWide(b []byte, format byte, length int, width int) []byte {
 	var raw [4]byte
 	binary.BigEndian.PutUint32(raw[:], uint32(length))
@@ -64,7 +64,7 @@
 	return appendWide(b, 0xdc-1, values, 1+random.Intn(2))
 }
 
-// anyRequest returns a request in random formats.
+// anyRequest encodes a request with random formats.
 func anyRequest(message Message, random *rand.Rand) []byte {
 	b := appendAnyUint(appendAnyArray(nil, 4, random), 0, random)
 	b = appendAnyText(appendAnyUint(b, message.ID, random), message.Class, random)
@@ -85,7 +85,7 @@
 	return append(appendWide(b, 0xc4, len(message.Body), 2), message.Body...)
 }
 
-// read reads one message from a stream that returns at most chunk bytes in each read; 0: no bound.
+// read reads one message from a stream that returns at most chunk bytes per read; 0: no bound.
 func read(raw []byte, chunk int) (Message, error) {
 	var in io.Reader = bytes.NewReader(raw)
 	if chunk > 0 {
@@ -94,7 +94,7 @@
 	return NewReader(bufio.NewReaderSize(in, 16)).Read()
 }
 
-// chunkReader returns at most chunk bytes in each read.
+// chunkReader is a reader that returns at most chunk bytes per read.
 type chunkReader struct {
 	left  []byte
 	chunk int
@@ -109,8 +109,8 @@
 	return copied, nil
 }
 
-// TestRequestsOfAnyFormat: a request is read the same whatever the formats of its values, and however the stream is split.
-func TestRequestsOfAnyFormat(t *testing.T) {
+// TestReadRequestInAnyFormat checks that the formats of the values and the sizes of the reads do not change the request that is read.
+func TestReadRequestInAnyFormat(t *testing.T) {
 	readsAsWritten := func(id uint32, body []byte, seed int64, chunk uint8) bool {
 		want := Message{ID: id, HasID: true, Class: "segment", RequestID: "9b1f03aa5c7e2d41", Timeout: 1500 * time.Millisecond,
 			IdempotencyKey: strings.Repeat("k", int(seed&31)), Object: "7f3a9c21e0b4d655", Part: "3", Group: "17", ETag: "ab", Body: body}
@@ -125,8 +125,8 @@
 	}
 }
 
-// TestRequestCutAnywhere: a stream that ends within a request is io.ErrUnexpectedEOF, one that ends before it io.EOF.
-func TestRequestCutAnywhere(t *testing.T) {
+// TestReadTruncatedRequest checks that a stream that ends within a request gives io.ErrUnexpectedEOF, and an empty one io.EOF.
+func TestReadTruncatedRequest(t *testing.T) {
 	complete := anyRequest(Message{ID: 7, Class: "segment", Body: []byte("body")}, rand.New(rand.NewSource(2)))
 	for length := range complete {
 		want := io.ErrUnexpectedEOF
@@ -134,13 +134,13 @@
 			want = io.EOF
 		}
 		if _, err := read(complete[:length], 0); err != want {
-			t.Errorf("cut at %d: %v, want %v", length, err, want)
+			t.Errorf("truncated at %d: got %v, want %v", length, err, want)
 		}
 	}
 }
 
-// TestNotificationsAndReadinessChecks: a cancellation, a readiness check and an unknown notification are read one after another.
-func TestNotificationsAndReadinessChecks(t *testing.T) {
+// TestReadNotificationsAndReadinessChecks reads a cancellation, a readiness check and an unknown notification from one stream.
+func TestReadNotificationsAndReadinessChecks(t *testing.T) {
 	stream := "\x93\x02\xadcancelRequest\x91\x07" + "\x94\x00\x08\xa5alive\x91\x80" + "\x93\x02\xa3new\x92\x81\xa1a\xcb12345678\xc7\x01xx"
 	in := NewReader(bufio.NewReader(strings.NewReader(stream)))
 	wanted := []Message{
@@ -150,20 +150,20 @@
 	}
 	for _, want := range wanted {
 		if got, err := in.Read(); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%+v, error %v, want %+v", got, err, want)
+			t.Errorf("got %+v, error %v, want %+v", got, err, want)
 		}
 	}
 }
 
-// TestHostileMessages: messages that break the protocol are errors. Lengths far beyond what follows are rejected before that
-// much memory is allocated.
-func TestHostileMessages(t *testing.T) {
+// TestReadMalformedMessage checks that messages that violate the protocol are errors. A length far beyond the bytes that follow must
+// be rejected before that much memory is allocated.
+func TestReadMalformedMessage(t *testing.T) {
 	cases := []struct {
 		name string
 		in   string
 		unit string // unit of the limit that is exceeded; "": the message is malformed
 	}{
-		{"never used format", "\xc1", ""},
+		{"unused format", "\xc1", ""},
 		{"unknown type", "\x94\x01", ""},
 		{"request of three values", "\x93\x00", ""},
 		{"negative id", "\x94\x00\xff", ""},
@@ -176,9 +176,9 @@
 		{"map of 2^31-1 fields", "\x94\x00\x01\xa1a\x92\xdf\x7f\xff\xff\xff", "fields"},
 		{"body of 2 GiB", "\x94\x00\x01\xa1a\x92\x80\xc6\x7f\xff\xff\xff", "bytes"},
 		{"no body", "\x94\x00\x01\xa1a\x91\x80", ""},
-		{"fields that are no map", "\x94\x00\x01\xa1a\x92\x90\xc0", ""},
-		{"unused value of 2 GiB", "\x93\x02\xa1x\x91\xc6\x7f\xff\xff\xff", "bytes of a value that is not used"},
-		{"unused array of 2^31-1 values", "\x93\x02\xa1x\x91\xdd\x7f\xff\xff\xff", "items of a value that is not used"},
+		{"fields that are not a map", "\x94\x00\x01\xa1a\x92\x90\xc0", ""},
+		{"unused value of 2 GiB", "\x93\x02\xa1x\x91\xc6\x7f\xff\xff\xff", "bytes of an unused value"},
+		{"unused array of 2^31-1 values", "\x93\x02\xa1x\x91\xdd\x7f\xff\xff\xff", "items of an unused value"},
 		{"arrays within arrays", "\x93\x02\xa1x" + strings.Repeat("\x91", 5000), ""},
 	}
 	for _, test := range cases {
@@ -187,16 +187,16 @@
 			var limit *LimitError
 			switch {
 			case test.unit == "" && !errors.Is(err, ErrMalformed):
-				t.Errorf("%+v, error %v, want ErrMalformed", message, err)
+				t.Errorf("got %+v, error %v, want ErrMalformed", message, err)
 			case test.unit != "" && (!errors.As(err, &limit) || limit.Unit != test.unit):
-				t.Errorf("%+v, error %v, want a *LimitError of %s", message, err, test.unit)
+				t.Errorf("got %+v, error %v, want a *LimitError with unit %s", message, err, test.unit)
 			}
 		})
 	}
 }
 
-// TestGarbage: Read does not panic on random bytes.
-func TestGarbage(t *testing.T) {
+// TestReadRandomBytes checks that Read does not panic on random bytes.
+func TestReadRandomBytes(t *testing.T) {
 	endsWithoutPanic := func(raw []byte) bool {
 		in := NewReader(bufio.NewReader(bytes.NewReader(raw)))
 		for range raw {
@@ -211,8 +211,8 @@
 	}
 }
 
-// TestResponses: each response has the bytes of the protocol.
-func TestResponses(t *testing.T) {
+// TestEncodeResponses checks that each response is encoded as in the protocol.
+func TestEncodeResponses(t *testing.T) {
 	join := func(head, body, tail []byte) []byte { return slices.Concat(head, body, tail) }
 	cases := []struct {
 		name string
@@ -231,14 +231,14 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if string(test.got) != test.want {
-				t.Errorf("%q, want %q", test.got, test.want)
+				t.Errorf("got %q, want %q", test.got, test.want)
 			}
 		})
 	}
 }
 
-// TestUnusedValuesAreSkipped: an unused value of any format is skipped, and the next message is read.
-func TestUnusedValuesAreSkipped(t *testing.T) {
+// TestReadSkipsUnusedValues checks that an unused value of any format is skipped, so that the next message is read correctly.
+func TestReadSkipsUnusedValues(t *testing.T) {
 	cases := []struct{ name, value string }{
 		{"integer", "\x7f"}, {"negative integer", "\xe0"}, {"nil", "\xc0"}, {"false", "\xc2"}, {"true", "\xc3"},
 		{"fixmap", "\x81\x01\x02"}, {"fixarray", "\x92\x01\x02"}, {"fixstr", "\xa2ab"},
@@ -258,10 +258,10 @@
 			stream := string(append([]byte("\x93\x02\xa3new\x91"+test.value), AppendReadinessCheck(nil, 8)...))
 			in := NewReader(bufio.NewReader(strings.NewReader(stream)))
 			if message, err := in.Read(); err != nil || message.Kind != UnknownNotification {
-				t.Fatalf("%+v, error %v, want an unknown notification", message, err)
+				t.Fatalf("got %+v, error %v, want an unknown notification", message, err)
 			}
 			if message, err := in.Read(); err != nil || message.Kind != ReadinessCheck || message.ID != 8 {
-				t.Errorf("after it %+v, error %v, want a readiness check with id 8", message, err)
+				t.Errorf("next message: got %+v, error %v, want a readiness check with id 8", message, err)
 			}
 		})
 	}
--- a/internal/msgpack/protocol.go
+++ b/internal/msgpack/protocol.go
@@ -1,6 +1,6 @@
-// Package msgpack is the codec of the clients' protocol, MessagePack-RPC, and of the messages between directors, which are
-// MessagePack too. It converts between bytes and fields; it makes no decisions and opens no sockets. No other package uses the names
-// of the clients' protocol.
+// Package msgpack is the codec of the clients' protocol, MessagePack-RPC, and of the messages between directors, which are also
+// encoded in MessagePack. It converts between bytes and fields; it makes no decisions and opens no sockets. No other package uses the
+// names of the clients' protocol.
 package msgpack
 
 import (
@@ -21,20 +21,20 @@
 	maxItems    = 1 << 10 // values of an array, and of an unused map
 	maxID       = math.MaxUint32
 	maxLength   = math.MaxInt32 // length of any value
-	maxResponse = 256 << 10     // bytes of a response's body, as clients read it
+	maxResponse = 256 << 10     // bytes of a response's body that a client accepts
 )
 
-// ErrMalformed is the error for bytes that are not MessagePack, or for a value that the protocol does not allow at its place.
+// ErrMalformed is the error for bytes that are not MessagePack, or for a value that the protocol does not allow in its position.
 var ErrMalformed = errors.New("msgpack: malformed message")
 
-// LimitError is the error for a value that is longer than the protocol allows.
+// LimitError is the error for a length that exceeds its limit.
 type LimitError struct {
 	Length int
 	Limit  int
 	Unit   string // unit of Length and Limit
 }
 
-// Error names the length, its unit and the limit.
+// Error states the length, its unit and the limit.
 func (e *LimitError) Error() string {
 	return fmt.Sprintf("msgpack: %d %s exceed the limit of %d", e.Length, e.Unit, e.Limit)
 }
@@ -63,14 +63,14 @@
 	typeNotification = 2
 )
 
-// Lengths of MessagePack-RPC messages, in values.
+// Numbers of values in MessagePack-RPC messages.
 const (
 	requestValues      = 4
 	responseValues     = 4
 	notificationValues = 3
 )
 
-// Methods with a meaning of their own. The method of any other request is its class.
+// Methods with a special meaning. The method of any other request is its class.
 const (
 	methodAlive  = "alive"
 	methodCancel = "cancelRequest"
@@ -103,7 +103,7 @@
 // Kinds of messages.
 const (
 	Request             Kind = iota // a request for an object
-	ReadinessCheck                  // asks whether the director is ready to serve
+	ReadinessCheck                  // a query whether the director is ready to serve
 	Cancellation                    // the client no longer waits for a request
 	UnknownNotification             // any other notification; directors ignore it
 )
@@ -111,14 +111,14 @@
 // Message is one message of a client. The idempotency key and the entity tag are forwarded byte for byte.
 type Message struct {
 	Kind  Kind
-	ID    uint32 // id of the request; in a cancellation, of the request to cancel
+	ID    uint32 // id of the request; for a cancellation, of the request to cancel
 	Class string // class of the request
 
-	// HasID reports that the id of a request was read. A response is possible then, even where the rest cannot be read.
+	// HasID reports whether the id of a request was read. If so, the director can respond even if the rest is malformed.
 	HasID bool
 
-	RequestID      string        // the client's id of the request
-	Timeout        time.Duration // 0: missing or unreadable
+	RequestID      string        // the client's id for the request
+	Timeout        time.Duration // 0: missing or invalid
 	IdempotencyKey string        // "": none
 	Object         string
 	Part           string
--- a/internal/msgpack/response.go
+++ b/internal/msgpack/response.go
@@ -7,14 +7,14 @@
 
 // A response is an array of four values: the type, the id of the request, an error or nil, and a result or nil.
 
-// An error is an array of its name and a map of fields, and a result one of the body, or a boolean, and a map of fields.
+// An error is an array of its name and a map of fields. A result is an array of the body, or a boolean, and a map of fields.
 const (
 	errorValues  = 2
 	resultValues = 2
 )
 
-// Success returns a successful response in three pieces that are sent one after another. The middle one is the body itself, so that
-// it is not copied. Where notModified is set, the client's own copy is still valid, and the body is empty.
+// Success returns a successful response in three parts that must be sent in order. The middle part is the body itself, so that it is
+// not copied. notModified states that the client's own copy is still valid; the body is then empty.
 func Success(id uint32, body []byte, notModified bool) (head, middle, tail []byte) {
 	head = append(responseHead(id), formatNil)
 	head = AppendList(head, resultValues)
@@ -28,8 +28,8 @@
 	return head, body, tail
 }
 
-// Rejection returns the rejection of a request that was not executed, so that a retry is safe. RetryAfter is the time after which to
-// retry; it is written in whole milliseconds, or left out where it is less than one.
+// Rejection returns the rejection of a request that was not executed, so that a retry is safe. retryAfter is the time after which to
+// retry. It is encoded in whole milliseconds, and omitted if it is shorter than one.
 func Rejection(id uint32, retryAfter time.Duration) []byte {
 	b := AppendList(responseHead(id), errorValues)
 	b = AppendText(b, errorRejected)
@@ -53,7 +53,7 @@
 	return append(b, formatNil)
 }
 
-// Readiness returns the response to a readiness check: whether the director is ready.
+// Readiness returns the response to a readiness check.
 func Readiness(id uint32, ready bool) []byte {
 	b := append(responseHead(id), formatNil)
 	b = AppendList(b, resultValues)
--- a/internal/msgpack/values.go
+++ b/internal/msgpack/values.go
@@ -9,15 +9,15 @@
 // valuesBuffer is the size in bytes of the buffer through which Values reads.
 const valuesBuffer = 64
 
-// Values reads the values of a message between directors one by one: unsigned integers, texts, byte strings and lists. After the first
-// error every value is zero, and Err returns the error.
+// Values reads the values of a message between directors one by one: unsigned integers, texts, byte strings and lists. After an error,
+// all further values are zero, and Err returns the first error.
 type Values struct {
 	reader Reader
 	source *bytes.Reader
 	err    error
 }
 
-// NewValues returns a reader of the values in a message, which must be complete.
+// NewValues returns a reader of the values in a complete message.
 func NewValues(message []byte) *Values {
 	source := bytes.NewReader(message)
 	return &Values{reader: Reader{bufio.NewReaderSize(source, valuesBuffer)}, source: source}
@@ -37,24 +37,24 @@
 // Text reads a text of up to limit bytes.
 func (v *Values) Text(limit int) string { return string(v.Bytes(limit)) }
 
-// Bytes reads a byte string of up to limit bytes. Since it also checks the length against the bytes left in the message, an announced
-// length cannot make it allocate more than the length of the message.
+// Bytes reads a byte string of up to limit bytes. It also checks the announced length against the bytes left in the message, so
+// that it never allocates more than the length of the message.
 func (v *Values) Bytes(limit int) (value []byte) {
 	if v.err == nil {
-		value, v.err = v.reader.bytes(min(limit, v.left()))
+		value, v.err = v.reader.bytes(min(limit, v.unreadBytes()))
 	}
 	return value
 }
 
 // List reads the head of a list of up to limit values and returns their number. Since a value takes at least one byte, List also checks
-// the number against the bytes left in the message. A head cannot make the caller allocate for more values than that.
+// the number against the bytes left in the message, so that the caller does not allocate memory for more values than that.
 func (v *Values) List(limit int) int {
 	if v.err != nil {
 		return 0
 	}
 	values, err := v.reader.arrayHead()
 	if err == nil {
-		err = checkLimit(values, min(limit, v.left()), "values of a list")
+		err = checkLimit(values, min(limit, v.unreadBytes()), "values of a list")
 	}
 	if err != nil {
 		v.err = err
@@ -63,13 +63,13 @@
 	return values
 }
 
-// left returns the number of bytes of the message that are not read yet.
-func (v *Values) left() int { return v.source.Len() + v.reader.in.Buffered() }
+// unreadBytes returns the number of bytes of the message that are not read yet.
+func (v *Values) unreadBytes() int { return v.source.Len() + v.reader.in.Buffered() }
 
 // Err returns the first error, or nil: ErrMalformed, a *LimitError or io.ErrUnexpectedEOF.
 func (v *Values) Err() error { return unexpectedEOF(v.err) }
 
-// End returns the first error, or ErrMalformed where bytes of the message are left.
+// End returns the first error, or ErrMalformed if the message has unread bytes.
 func (v *Values) End() error {
 	if v.err == nil {
 		if _, err := v.reader.in.ReadByte(); err != io.EOF {
