--- a/internal/config/bench_test.go
+++ b/internal/config/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// benchmarkParse measures reading a configuration that holds these events in addition to its own.
+// benchmarkParse measures parsing completeJSON with additional events.
 func benchmarkParse(b *testing.B, entries []string) {
 	known := fmt.Sprintf(`"known":{"pos":%d,"entries":[%s,`, len(entries)+1, strings.Join(entries, ","))
 	text := strings.Replace(completeJSON, `"known":{"pos":1,"entries":[`, known, 1)
@@ -19,12 +19,12 @@
 	b.ReportMetric(float64(len(text)), "B/msg")
 }
 
-// endpointFormat formats an endpoint of a snapshot from its id and the last two numbers of its address.
+// endpointFormat is the format of an endpoint in a snapshot, for its id and the last two numbers of its address.
 const endpointFormat = `{"host":"s-%08x","dial":"10.1.%d.%d:8443","site":"west","class":"box","block":2,"health":"SERVING",` +
 	`"share":4.5,"born_ms":5}`
 
-// BenchmarkScaleConfigEvents reads a configuration by the number of known events, every second one a purge and the others
-// changes of one endpoint.
+// BenchmarkScaleConfigEvents parses configurations with different numbers of events, which are alternately changes of one endpoint and
+// purges.
 func BenchmarkScaleConfigEvents(b *testing.B) {
 	for _, size := range []int{100, 500, 1000, 2000, 5000} {
 		b.Run(fmt.Sprintf("events=%d", size), func(b *testing.B) {
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkScaleConfigMachines reads a configuration by the number of endpoints of one snapshot.
+// BenchmarkScaleConfigMachines parses configurations with a snapshot of different numbers of endpoints.
 func BenchmarkScaleConfigMachines(b *testing.B) {
 	for _, size := range []int{20, 70, 140, 280} {
 		b.Run(fmt.Sprintf("machines=%d", size), func(b *testing.B) {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks configuration and applies the defaults, for directors and for the simulator's adapter. No other
-// package does so.
+// Package config reads and checks the configuration of directors, and the settings that the simulator passes, and applies the defaults.
+// No other package does so.
 package config
 
 import (
@@ -27,27 +27,27 @@
 	Name          string
 	FileIdentity  string // name and listen as in the file, without overrides
 	Listen        netip.AddrPort
-	DiscoveryAddr netip.AddrPort    // address of the discovery service
+	DiscoveryAddr netip.AddrPort    // address of the discovery service, which is the journal service
 	Cores         float64           // processor cores that the director may use
 	MemoryMB      int               // memory that the director may use
-	Sockets       int               // most sockets that may be open
+	Sockets       int               // maximum number of open sockets
 	LastEvent     uint64            // number of the last event in Known
-	Known         []discovery.Event // the snapshot of discovery that the director starts with
+	Known         []discovery.Event // discovery events that the director starts with
 	ClassNames    []string          // names, in the order of Settings.Classes
 	Zones         []string          // names; Settings.Zone is the index of the director's own zone
 
-	DialTimeout     time.Duration // for connecting to a node
+	DialTimeout     time.Duration // timeout for connecting to a node
 	IdleTimeout     time.Duration // time after which nodes close an idle connection
-	MaxStreams      int           // most requests in flight on one connection
-	MaxOpenRequests int           // most clients' requests in flight
-	DrainGrace      time.Duration // time after a drain event in which the node may still get new requests; 0: not stated
-	PurgeGrace      time.Duration // time after a purge event in which older copies may still be served; 0: not stated
+	MaxStreams      int           // maximum number of requests in flight on one connection
+	MaxOpenRequests int           // maximum number of clients' requests in flight
+	DrainGrace      time.Duration // time after a drain event in which the node may still receive new requests; 0: not stated
+	PurgeGrace      time.Duration // time after a purge event in which purged copies may still be served; 0: not stated
 	TransferRate    float64       // peak rate of one response, in bytes per second; 0: not stated
 
 	Settings routing.Settings
 }
 
-// Defaults for settings that a file may leave out.
+// Defaults for settings that a file may omit.
 const (
 	defaultDialTimeout     = 400 * time.Millisecond
 	defaultIdleTimeout     = 30 * time.Second
@@ -55,20 +55,21 @@
 	defaultMaxOpenRequests = 20000
 )
 
-// maxAttempts is the largest value of limits.sendCap, the most attempts of one request.
+// maxAttempts is the largest allowed value of limits.sendCap, which limits the attempts of one request.
 const maxAttempts = 64
 
-// FromEnv reads the file that ROUTER_CONFIG names. ROUTER_NAME and ROUTER_LISTEN, where set, override the file's values.
+// FromEnv reads the configuration file at the path in ROUTER_CONFIG. ROUTER_NAME and ROUTER_LISTEN override the file's values if they
+// are set.
 func FromEnv() (*Config, error) {
 	path := os.Getenv(envFile)
 	if path == "" {
-		return nil, errors.New(envFile + ": missing, the path of the configuration file is expected")
+		return nil, errors.New(envFile + ": missing, expected the path of the configuration file")
 	}
 	return File(path, os.Getenv(envName), os.Getenv(envListen))
 }
 
-// File reads a configuration file. Name and listen override the file's values, unless empty. The error for a file that cannot be
-// read is an *fs.PathError; Parse documents the others.
+// File reads a configuration file. name and listen override the file's values unless they are empty. If the file cannot be read, the
+// error is an *fs.PathError; other errors are those of Parse.
 func File(path, name, listen string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -77,13 +78,13 @@
 	return Parse(raw, name, listen)
 }
 
-// sections are the parts of a configuration that are parsed separately.
+// sections has the parts of a configuration that are parsed separately.
 type sections struct {
 	Settings json.RawMessage `json:"settings"`
 	Known    json.RawMessage `json:"known"`
 }
 
-// Parse reads a configuration from its JSON. Name and listen override the file's values, unless empty. The error for a faulty value
+// Parse parses a configuration in JSON. name and listen override its values unless they are empty. The error for an invalid value
 // begins with its key. It is a *KeyError for the director's own values and for the settings, and a *discovery.FieldError for the known
 // events.
 func Parse(raw []byte, name, listen string) (*Config, error) {
@@ -97,10 +98,10 @@
 	}
 	c, seed := newConfig(top, name, listen)
 	if len(parts.Settings) == 0 {
-		top.fail("settings", "missing, an object is expected")
+		top.fail("settings", "missing, expected an object")
 	}
 	if len(parts.Known) == 0 {
-		top.fail("known", "missing, the journal service's events are expected")
+		top.fail("known", "missing, expected the journal service's events")
 	}
 	if top.err != nil {
 		return nil, top.err
@@ -114,7 +115,8 @@
 	return c, nil
 }
 
-// newConfig reads the values outside the settings and the known events, and the seed. The first fault is in top.err.
+// newConfig converts the values outside the settings and the known events. It returns the seed separately. The first error is stored
+// in top.err.
 func newConfig(top *values, name, listen string) (c *Config, seed uint64) {
 	fileIdentity := top.text("name") + " at " + top.text("listen")
 	if name != "" {
@@ -142,7 +144,8 @@
 	return c, seed
 }
 
-// parseSettings reads the settings. It returns a *KeyError for the first that is faulty or that a director needs and is missing.
+// parseSettings converts the settings. It returns a *KeyError for the first value that is invalid, or missing although a director needs
+// it.
 func (c *Config) parseSettings(raw json.RawMessage, seed uint64) error {
 	settings, err := flatten(raw)
 	if err != nil {
@@ -164,7 +167,7 @@
 	return settings.err
 }
 
-// positiveOr returns the value where it is above 0, otherwise the default.
+// positiveOr returns the value if it is above 0, otherwise the default.
 func positiveOr[T int | time.Duration](value, defaultValue T) T {
 	if value > 0 {
 		return value
@@ -172,12 +175,12 @@
 	return defaultValue
 }
 
-// checkRequired checks that the settings that a director needs are present. The simulator may leave them out, so newSettings does
-// not check this.
+// checkRequired checks that the settings that a director needs are present. newSettings does not check this, since the simulator may
+// omit them.
 func checkRequired(settings *values) {
 	settings.positive("classes.count")
 	if settings.classes() == 0 {
-		settings.fail("classes.count", "one class is expected at least")
+		settings.fail("classes.count", "expected at least one class")
 	}
 	for index := range settings.classes() {
 		checkClass(settings, classPath(index))
@@ -186,27 +189,27 @@
 		settings.positive(key)
 	}
 	if attempts := settings.integer("limits.sendCap"); attempts > maxAttempts {
-		settings.fail("limits.sendCap", "%d is over %d", attempts, maxAttempts)
+		settings.fail("limits.sendCap", "%d exceeds the maximum of %d", attempts, maxAttempts)
 	}
-	settings.required("zone", "the director's place in zones")
+	settings.required("zone", "the index of the director's zone in zones")
 	settings.required("zones", "a list of names")
 	settings.required("models", "a list of names")
 }
 
-// checkClass checks that the values that a class needs are present. Path is its classPath.
+// checkClass checks that the required values of a class are present. path is its classPath.
 func checkClass(settings *values, path string) {
 	settings.required(path+"name", "the vhost's name")
 	settings.positive(path + "aim")
 	settings.positive(path + "deadline")
-	switch effect := settings.required(path+"idempotency", "what a repeat does"); effect {
+	switch effect := settings.required(path+"idempotency", "the effect of a repeated request"); effect {
 	case idempotent, idempotentWithKey, nonIdempotent:
 	default:
-		settings.fail(path+"idempotency", "unknown %q", effect)
+		settings.fail(path+"idempotency", "unknown value %q, expected read_like, idempotency_key or non_idempotent", effect)
 	}
 }
 
-// parseKnown reads the names of the zones and the snapshot of discovery. It reads the names of zones and tiers from the JSON, not
-// from the flat table, which has replaced the commas in them.
+// parseKnown parses the names of the zones and the known events. It takes the names of zones and tiers from the JSON, since the flat
+// table has the commas in them replaced.
 func (c *Config) parseKnown(parts sections) error {
 	var names struct {
 		Zones  []string
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// completeJSON is a configuration that states each value that the tests change.
+// completeJSON is a configuration with each value that the tests change.
 const completeJSON = `{"name":"n3","listen":"10.0.0.4:8443","seed":"8c1f30d27a5be964","journal":"10.2.0.1:2379",
  "limits":{"cores":1.0,"memory_mb":2048,"sockets":4096},"flow_bytes_per_s":310000,
  "known":{"pos":1,"entries":[{"hosts":{"hosts":[{"host":"s-331d10af","dial":"10.1.0.1:1","site":"east, far","class":"box",
@@ -19,7 +19,7 @@
   "instances":3,"limits":{"cancel":true,"sendCap":8,"dialTimeout":250000},"me":2,"models":["box","mid","root"],
   "rules":{"fallMultiple":3.0,"rampTime":17000000,"tipAfter":3000000},"tenants":[],"zone":1,"zones":["west","east, far"]}}`
 
-// completeText is the settings of completeJSON as the simulator passes them.
+// completeText has the settings of completeJSON in the form in which the simulator passes them.
 const completeText = `classes.count=2
 classes.0.aim=400000
 classes.0.aimStretch=2.0
@@ -51,8 +51,8 @@
 rules.tipAfter=3000000
 zone=1`
 
-// TestBothFormsAlike: the simulator's text and the director's JSON are two forms of the same settings.
-func TestBothFormsAlike(t *testing.T) {
+// TestTextAndJSONGiveSameSettings checks that the simulator's text and the director's JSON of the same settings are parsed alike.
+func TestTextAndJSONGiveSameSettings(t *testing.T) {
 	config, err := Parse([]byte(completeJSON), "", "")
 	if err != nil {
 		t.Fatal(err)
@@ -63,11 +63,11 @@
 	}
 	settings.Seed = config.Settings.Seed // the text has none
 	if !reflect.DeepEqual(settings, config.Settings) {
-		t.Errorf("from text %+v\nfrom JSON %+v", settings, config.Settings)
+		t.Errorf("from text: got %+v\nwant, as from JSON: %+v", settings, config.Settings)
 	}
 }
 
-// TestParse: values outside the settings are read, and those that the file leaves out have their defaults.
+// TestParse checks values outside the settings, and the defaults of values that the file omits.
 func TestParse(t *testing.T) {
 	config, err := Parse([]byte(completeJSON), "", "")
 	if err != nil {
@@ -93,19 +93,19 @@
 	}
 }
 
-// TestOverrides: a name and an address given to Parse replace those of the file, except in FileIdentity.
-func TestOverrides(t *testing.T) {
+// TestParseOverrides checks that the name and the address given to Parse replace those of the file, except in FileIdentity.
+func TestParseOverrides(t *testing.T) {
 	config, err := Parse([]byte(completeJSON), "n9", "127.0.0.1:9")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if config.Name != "n9" || config.Listen.Port() != 9 || config.FileIdentity != "n3 at 10.0.0.4:8443" {
-		t.Errorf("name %q, listen %v, file identity %q", config.Name, config.Listen, config.FileIdentity)
+		t.Errorf("got name %q, listen %v, file identity %q; want n9, port 9, the file's own", config.Name, config.Listen, config.FileIdentity)
 	}
 }
 
-// TestFaultsNameTheKey: the error of a faulty value begins with its key.
-func TestFaultsNameTheKey(t *testing.T) {
+// TestParseErrorsNameKey checks that the error for an invalid value begins with its key.
+func TestParseErrorsNameKey(t *testing.T) {
 	cases := []struct {
 		text   string // part of completeJSON that faulty replaces
 		faulty string
@@ -140,17 +140,17 @@
 		t.Run(test.key, func(t *testing.T) {
 			faulty := strings.Replace(completeJSON, test.text, test.faulty, 1)
 			if _, err := Parse([]byte(faulty), "", ""); err == nil || !strings.HasPrefix(err.Error(), test.key+":") {
-				t.Errorf("%s for %s: error %v, want one of %s", test.faulty, test.text, err, test.key)
+				t.Errorf("%s for %s: got error %v, want one for %s", test.faulty, test.text, err, test.key)
 			}
 		})
 	}
 	if _, err := Parse([]byte(completeJSON[:100]), "", ""); err == nil {
-		t.Error("half a file was accepted")
+		t.Error("truncated file: got no error")
 	}
 }
 
-// TestTextFaultsNameTheKey: the error of a faulty value in settings as text begins with its key.
-func TestTextFaultsNameTheKey(t *testing.T) {
+// TestTextErrorsNameKey checks that the error for an invalid value in settings as text begins with its key.
+func TestTextErrorsNameKey(t *testing.T) {
 	cases := []struct{ text, key string }{
 		{"classes.count=999999", "classes.count"},
 		{"zone=-1", "zone"},
@@ -158,7 +158,7 @@
 	for _, test := range cases {
 		t.Run(test.key, func(t *testing.T) {
 			if _, err := Text(test.text); err == nil || !strings.HasPrefix(err.Error(), test.key+":") {
-				t.Errorf("%s: error %v, want one of %s", test.text, err, test.key)
+				t.Errorf("%s: got error %v, want one for %s", test.text, err, test.key)
 			}
 		})
 	}
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// TestFilesThatCannotBeRead: a path that cannot be read is an error that names the path and wraps the cause.
-func TestFilesThatCannotBeRead(t *testing.T) {
+// TestUnreadableFile checks that the error for a path that cannot be read has the path and wraps the cause.
+func TestUnreadableFile(t *testing.T) {
 	folder := t.TempDir()
 	unreadable := filepath.Join(folder, "config.json")
 	if err := os.Symlink("/proc/self/mem", unreadable); err != nil { // its first bytes are not mapped: EIO
@@ -29,15 +29,15 @@
 		t.Run(test.name, func(t *testing.T) {
 			config, err := File(test.path, "", "")
 			if !errors.Is(err, test.want) || config != nil || !strings.Contains(err.Error(), test.path) {
-				t.Errorf("configuration %v, error %v, want none and %v", config, err, test.want)
+				t.Errorf("got configuration %v, error %v, want none and %v with the path", config, err, test.want)
 			}
 		})
 	}
 }
 
-// TestTruncatedFiles: a file that ends at any byte before its last, or has zeros from there on, is an error. The complete file is
-// read.
-func TestTruncatedFiles(t *testing.T) {
+// TestTruncatedFile checks that a file that is truncated at any byte, or has zeros from there on, is an error, and that the complete
+// file is accepted.
+func TestTruncatedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	for cut := range completeJSON {
 		for _, tail := range []string{"", "\x00\x00\x00\x00"} { // zeros: a power failure may leave them after the bytes written
@@ -45,7 +45,7 @@
 				t.Fatal(err)
 			}
 			if config, err := File(path, "", ""); err == nil || config != nil {
-				t.Fatalf("cut at %d of %d, tail %q: accepted", cut, len(completeJSON), tail)
+				t.Fatalf("truncated at %d of %d, tail %q: got no error", cut, len(completeJSON), tail)
 			}
 		}
 	}
@@ -53,6 +53,6 @@
 		t.Fatal(err)
 	}
 	if _, err := File(path, "", ""); err != nil {
-		t.Errorf("the complete file: %v", err)
+		t.Errorf("complete file: got error %v, want none", err)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,19 +13,19 @@
 	nonIdempotent     = "non_idempotent"
 )
 
-// noKind stands for the tier of parents or origins where a deployment has no such tier.
+// noKind is the tier of parents or of origins in a deployment without such a tier.
 const noKind = -1
 
-// Text reads the settings from lines of path=value, the form in which the simulator passes them. Absent values are zero. The error
-// is a *KeyError, for the first faulty value.
+// Text parses settings in lines of path=value, the form in which the simulator passes them. Absent values are zero. The error is a
+// *KeyError for the first invalid value.
 func Text(text string) (routing.Settings, error) {
 	table := parseText(text)
 	settings := newSettings(table)
 	return settings, table.err
 }
 
-// newSettings converts the table of settings, read from JSON or from text, to the form that the routing decisions use. The first
-// fault is in settings.err.
+// newSettings converts a table of settings, parsed from JSON or from text, to the form that package routing uses. The first error is
+// stored in settings.err.
 func newSettings(settings *values) routing.Settings {
 	result := routing.Settings{
 		Index:             settings.integer("me"),
@@ -59,7 +59,7 @@
 		CapacitiesListed:   weightsAreCapacities(settings),
 	}
 	if result.Zone < 0 {
-		settings.fail("zone", "%d is no place in zones", result.Zone)
+		settings.fail("zone", "%d is not an index into zones", result.Zone)
 		return result
 	}
 	result.DirectorsInZone = settings.item("domain.zoneBalancers", result.Zone).integer("")
@@ -69,7 +69,7 @@
 	return result
 }
 
-// kind returns the tier at a key, or noKind where it is absent.
+// kind returns the tier at a key, or noKind if it is absent.
 func kind(settings *values, key string) int {
 	if !settings.has(key) {
 		return noKind
@@ -77,7 +77,7 @@
 	return settings.integer(key)
 }
 
-// strictBool returns the value at a key, which must be true or false. An absent value is false.
+// strictBool returns the value at a key. A value other than true or false is an error. An absent value is false.
 func strictBool(settings *values, key string) bool {
 	if text := settings.text(key); text != "" && text != "true" && text != "false" {
 		settings.fail(key, "%q is neither true nor false", text)
@@ -85,19 +85,19 @@
 	return settings.isTrue(key)
 }
 
-// fillFaultsReported reports whether responses name the node that failed a fill. They do in a deployment that states no level.
+// fillFaultsReported reports whether responses name the node that failed a fill. This is the case if the settings state no level.
 func fillFaultsReported(settings *values) bool {
 	switch level := settings.text("domain.noteLevel"); level {
 	case "", "all":
 		return true
 	case "hit", "none":
 	default:
-		settings.fail("domain.noteLevel", "unknown %q", level)
+		settings.fail("domain.noteLevel", "unknown value %q, expected all, hit or none", level)
 	}
 	return false
 }
 
-// weightsAreCapacities reports whether the weights in the endpoint list are capacities. Live weights are not: they change with
+// weightsAreCapacities reports whether the weights in the endpoint list are capacities. Live weights are not, since they change with
 // the load.
 func weightsAreCapacities(settings *values) bool {
 	switch weights := settings.text("weightKind"); weights {
@@ -105,26 +105,26 @@
 		return true
 	case "", "none", "live":
 	default:
-		settings.fail("weightKind", "unknown %q", weights)
+		settings.fail("weightKind", "unknown value %q, expected nominal, rough, live or none", weights)
 	}
 	return false
 }
 
-// classes returns the number of classes. A number that is negative or larger than the number of all values is a fault, and classes
-// returns 0. This guards against a count of, say, a billion, for each of which a class would be read.
+// classes returns the number of classes. If the number is negative or larger than the number of all values, it stores an error and
+// returns 0. Without this check, a count of, say, a billion would make newSettings create that many classes.
 func (v *values) classes() int {
 	count := v.integer("classes.count")
 	if count < 0 || count > len(v.byPath) {
-		v.fail("classes.count", "%d is impossible", count)
+		v.fail("classes.count", "%d is negative or exceeds the number of values", count)
 		return 0
 	}
 	return count
 }
 
-// classPath returns the prefix of the keys of a class, with the final dot.
+// classPath returns the prefix of the keys of a class, including the final dot.
 func classPath(index int) string { return fmt.Sprintf("classes.%d.", index) }
 
-// newClass reads the class at an index. Some of its values are items of lists that have one item for each class.
+// newClass converts the class at an index. Some of its values are items of lists that have one item per class.
 func newClass(settings *values, index int) routing.Class {
 	path := classPath(index)
 	return routing.Class{
@@ -141,7 +141,7 @@
 	}
 }
 
-// effect returns what a repeat of a request does. Unknown values are treated as the strictest, routing.NonIdempotent.
+// effect returns the effect of a repeated request. Unknown values are treated as the strictest, routing.NonIdempotent.
 func effect(idempotency string) routing.Effect {
 	switch idempotency {
 	case idempotent:
@@ -152,8 +152,8 @@
 	return routing.NonIdempotent
 }
 
-// dedupScope returns among which caches a repeat of a request with an idempotency key is dropped. Unknown names are treated as the
-// smallest scope, which is safe.
+// dedupScope returns the set of caches within which a repeated request with an idempotency key is dropped. Unknown names are treated as
+// the smallest scope, which is safe.
 func dedupScope(name string) routing.DedupScope {
 	switch name {
 	case "all":
--- a/internal/config/values.go
+++ b/internal/config/values.go
@@ -10,45 +10,45 @@
 	"time"
 )
 
-// listSeparator separates the items of a plain list. Within an item, separatorInItem replaces it, so that the following items keep
-// their indices.
+// listSeparator separates the items of a plain list. Within an item it is replaced with separatorInItem, so that the indexes of the
+// following items do not change.
 const (
 	listSeparator   = ","
 	separatorInItem = "_"
 )
 
-// maxPositive bounds the numbers that positive accepts. A float64 represents every integer below it.
+// maxPositive bounds the numbers that positive accepts. A float64 represents every smaller integer exactly.
 const maxPositive = 1e15
 
-// KeyError is the error for a faulty or missing value of a configuration.
+// KeyError is the error for an invalid or missing value in a configuration.
 type KeyError struct {
-	Key   string // path of the value, its parts joined by dots
+	Key   string // path of the value, joined by dots
 	Fault string
 }
 
 // Error names the key and the fault.
 func (e *KeyError) Error() string { return e.Key + ": " + e.Fault }
 
-// values is a tree of settings as a flat table from path to value, such as from limits.sendCap to 8. It has two forms of lists:
+// values is a tree of settings as a flat table from path to value, such as from limits.sendCap to 8. There are two kinds of lists:
 //
-//   - A plain list is one value, the items joined by listSeparator.
-//   - A list of objects has its length at the path of the list with .count, and each object at the path of the list with its index.
+//   - A plain list is a single value, with the items joined by listSeparator.
+//   - A list of objects has its length at the list's path followed by .count, and each object at the list's path followed by its index.
 //
-// The methods that read a value return its zero value where it is absent or faulty. The first fault is stored in err.
+// The methods that read a value return the zero value if it is absent or invalid. The first error is stored in err.
 type values struct {
 	byPath map[string]string
-	prefix string // precedes the keys in errors
-	err    error  // a *KeyError; nil: no fault yet
+	prefix string // prepended to the keys in errors
+	err    error  // the first error, a *KeyError; nil: none yet
 }
 
-// fail stores a fault, unless one is stored already.
+// fail stores an error, unless one is stored already.
 func (v *values) fail(key, format string, args ...any) {
 	if v.err == nil {
 		v.err = &KeyError{Key: v.prefix + key, Fault: fmt.Sprintf(format, args...)}
 	}
 }
 
-// flatten reads a JSON object into the table that parseText reads from the same settings as text. It keeps numbers as written.
+// flatten converts a JSON object to the same table that parseText returns for these settings as text. Numbers stay as written.
 func flatten(raw json.RawMessage) (*values, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -61,7 +61,7 @@
 	return table, nil
 }
 
-// parseText reads lines of path=value. It ignores all other lines.
+// parseText parses lines of path=value. It ignores all other lines.
 func parseText(text string) *values {
 	table := &values{byPath: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
@@ -72,7 +72,7 @@
 	return table
 }
 
-// add adds a decoded JSON value at a path. Null is the same as absent.
+// add adds a decoded JSON value at a path. Null counts as absent.
 func (v *values) add(path string, tree any) {
 	switch tree := tree.(type) {
 	case map[string]any:
@@ -87,7 +87,7 @@
 	}
 }
 
-// addList adds a list at a path. Plain items of a list that also has objects are left out.
+// addList adds a list at a path. If the list has objects, its plain items are omitted.
 func (v *values) addList(path string, list []any) {
 	var plainItems []string
 	objects := 0
@@ -106,20 +106,20 @@
 	}
 }
 
-// text returns the value as written, or "" where it is absent.
+// text returns the value as written, or "" if it is absent.
 func (v *values) text(key string) string { return v.byPath[key] }
 
 // has reports whether the value is present and not empty.
 func (v *values) has(key string) bool { return v.byPath[key] != "" }
 
-// number returns the value as a number, or 0 where it is absent.
+// number returns the value as a number, or 0 if it is absent.
 func (v *values) number(key string) float64 {
 	if !v.has(key) {
 		return 0
 	}
 	number, err := strconv.ParseFloat(v.text(key), 64)
 	if err != nil {
-		v.fail(key, "%q is no number", v.text(key))
+		v.fail(key, "%q is not a number", v.text(key))
 	}
 	return number
 }
@@ -135,8 +135,8 @@
 	return time.Duration(v.number(key)) * time.Microsecond
 }
 
-// item returns a new table that holds one item of a plain list at the empty path, or nothing where the list is shorter. Faults in the
-// item are stored in that table only, so an item that cannot be read is zero and no error.
+// item returns a new table with one item of a plain list at the empty path. The table is empty if the list is shorter. Errors in the
+// item are stored in the new table only, so an invalid item is zero and does not cause an error of v.
 func (v *values) item(key string, index int) *values {
 	items := strings.Split(v.text(key), listSeparator)
 	single := &values{byPath: map[string]string{}}
@@ -146,7 +146,7 @@
 	return single
 }
 
-// integers returns a plain list of numbers, or nil where it is absent.
+// integers returns a plain list of numbers, or nil if it is absent.
 func (v *values) integers(key string) (list []int) {
 	if !v.has(key) {
 		return nil
@@ -157,30 +157,30 @@
 	return list
 }
 
-// required returns a value as written. An absent value is a fault; expected says in the error what the value should be.
+// required returns a value as written. An absent value is an error, in which expected describes the value.
 func (v *values) required(key, expected string) string {
 	if !v.has(key) {
-		v.fail(key, "missing, %s is expected", expected)
+		v.fail(key, "missing, expected %s", expected)
 	}
 	return v.text(key)
 }
 
-// positive returns a number that must be present, above 0 and below maxPositive.
+// positive returns a number. It is an error if the number is absent, not above 0, or not below maxPositive.
 func (v *values) positive(key string) float64 {
 	v.required(key, "a number above 0")
 	number := v.number(key)
 	inRange := number > 0 && number < maxPositive // false for NaN
 	if !inRange {
-		v.fail(key, "%q is no number above 0", v.text(key))
+		v.fail(key, "%q is not a number above 0 and below 1e15", v.text(key))
 	}
 	return number
 }
 
-// address returns an IP address and port, which must be present.
+// address returns an IP address and port. It is an error if the value is absent or invalid.
 func (v *values) address(key string) netip.AddrPort {
 	address, err := netip.ParseAddrPort(v.required(key, "an address and port"))
 	if err != nil {
-		v.fail(key, "%q is no address and port", v.text(key))
+		v.fail(key, "%q is not an IP address and port", v.text(key))
 	}
 	return address
 }
--- a/internal/simadapter/server_test.go
+++ b/internal/simadapter/server_test.go
@@ -169,7 +169,7 @@
 		})
 	}
 	_, err := serve(t, bad(at(3), append(le(eventCreate, uint64(1), uint32(6)), "zone=x"...)))
-	if err == nil || !strings.Contains(err.Error(), "is no number") {
+	if err == nil || !strings.Contains(err.Error(), "is not a number") {
 		t.Errorf("error %v lacks its cause", err)
 	}
 }
