--- a/internal/service/logwriter.go
+++ b/internal/service/logwriter.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// logQueueLines is the number of log lines that can be queued. Further lines are lost and counted.
+// logQueueLines is the capacity of the queue of log lines. Lines that do not fit are lost and counted.
 const logQueueLines = 256
 
-// logWriter is a writer that never blocks. It guards against a reader of the log that hangs: log lines are written under locks, so
-// the director would hang too. Lines that do not fit into the queue are lost; the log says how many. newLogWriter starts the
-// goroutine that writes. It ends after close; where the output hangs, once the write in progress returns.
+// logWriter is a writer that never blocks, even if the reader of the log hangs. Log lines are written while locks are held, so a write
+// that blocks would block the director as well. Lines that do not fit into the queue are lost; their number is written to the log.
+// newLogWriter starts a goroutine that writes the queued lines. The goroutine ends after close or, if the output hangs, after the write
+// in progress returns.
 type logWriter struct {
 	lines chan []byte
-	lost  atomic.Int64  // lines lost since the last report of them
+	lost  atomic.Int64  // number of lines lost since the last report
 	stop  chan struct{} // closed by close
 	ended chan struct{} // closed when the goroutine has ended
 }
 
-// newLogWriter starts a writer to out. A write to out may hang.
+// newLogWriter returns a writer to out and starts its goroutine. Writes to out may hang.
 func newLogWriter(out io.Writer) *logWriter {
 	w := &logWriter{lines: make(chan []byte, logQueueLines), stop: make(chan struct{}), ended: make(chan struct{})}
 	go w.run(out)
 	return w
 }
 
-// run writes lines until the writer is stopped, then those that are still queued.
+// run writes lines until the writer is stopped, and then the lines that are still queued.
 func (w *logWriter) run(out io.Writer) {
 	defer close(w.ended)
 	for {
@@ -44,7 +45,7 @@
 	}
 }
 
-// writeLine writes a line, then a report of the lines lost since the last report. It ignores errors: there is no other place to
+// writeLine writes a line and then, if lines were lost, a report of their number. It ignores errors, since there is no other place to
 // report that the log cannot be written.
 func (w *logWriter) writeLine(out io.Writer, line []byte) {
 	out.Write(line)
@@ -63,7 +64,7 @@
 	return len(line), nil
 }
 
-// close waits until the queued lines are written, at most for the timeout. It must be called once only. Lines that are written later
+// close waits until the queued lines are written, for at most the timeout. It must be called only once. Lines passed to Write later
 // are lost.
 func (w *logWriter) close(timeout time.Duration) {
 	close(w.stop)
--- a/internal/service/logwriter_test.go
+++ b/internal/service/logwriter_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// TestLogNeverBlocks: writers do not block where the reader of the log hangs. Once it reads, the log says that lines were lost.
-func TestLogNeverBlocks(t *testing.T) {
+// TestLogWriterDoesNotBlock checks that Write does not block if the reader of the log hangs, and that the log reports the lost lines
+// once the reader reads.
+func TestLogWriterDoesNotBlock(t *testing.T) {
 	out, in := io.Pipe()
 	log := newLogWriter(in)
 	for range 3 * logQueueLines {
@@ -20,12 +21,12 @@
 	for lines.Scan() && lines.Text() == "line" {
 	}
 	if !strings.HasSuffix(lines.Text(), "log lines lost") {
-		t.Errorf("the log says %q, want how many lines were lost", lines.Text())
+		t.Errorf("got line %q, want the number of log lines lost", lines.Text())
 	}
 }
 
-// TestLogWriterCloses: close writes what is queued and ends the goroutine; later lines do not block.
-func TestLogWriterCloses(t *testing.T) {
+// TestLogWriterClose checks that close writes the queued lines and ends the goroutine, and that later calls of Write do not block.
+func TestLogWriterClose(t *testing.T) {
 	var out bytes.Buffer
 	log := newLogWriter(&out)
 	const count = 100
@@ -36,18 +37,18 @@
 	select {
 	case <-log.ended:
 	default:
-		t.Fatal("the goroutine has not ended")
+		t.Fatal("the goroutine has not ended after close")
 	}
 	if lines := strings.Count(out.String(), "line\n"); lines != count {
-		t.Errorf("%d lines were written, want %d", lines, count)
+		t.Errorf("got %d lines, want %d", lines, count)
 	}
 	for range 2 * logQueueLines {
 		log.Write([]byte("late\n"))
 	}
 }
 
-// TestLogWriterClosesWhereTheOutputHangs: close waits for its timeout and no longer.
-func TestLogWriterClosesWhereTheOutputHangs(t *testing.T) {
+// TestLogWriterCloseWithBlockedOutput checks that close returns after its timeout if the output hangs.
+func TestLogWriterCloseWithBlockedOutput(t *testing.T) {
 	_, in := io.Pipe() // without a reader
 	t.Cleanup(func() { in.Close() })
 	log := newLogWriter(in)
@@ -60,6 +61,6 @@
 	select {
 	case <-closed:
 	case <-time.After(20 * time.Second):
-		t.Fatal("close hangs with its output")
+		t.Fatal("close has not returned although its timeout has passed")
 	}
 }
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -16,13 +16,13 @@
 // processVariable is the environment variable that makes the test binary run as a director.
 const processVariable = "SERVICE_PROCESS"
 
-// How long a test waits for a director to listen, and for a line of its log.
+// Longest waits of a test for a director to listen and for a line of its log.
 const (
 	startTimeout = 20 * time.Second
 	logTimeout   = 20 * time.Second
 )
 
-// TestMain runs a director instead of the tests where processVariable is set, for tests that need a director's process.
+// TestMain runs a director instead of the tests if processVariable is set. Tests that need a director in its own process use this.
 func TestMain(m *testing.M) {
 	if os.Getenv(processVariable) == "" {
 		os.Exit(m.Run())
@@ -33,10 +33,10 @@
 	}
 }
 
-// servedProcess is a director's process.
+// servedProcess is a director in its own process.
 type servedProcess struct {
 	*exec.Cmd
-	address string      // address at which it listens for clients
+	address string      // address on which it listens for clients
 	config  string      // path of its configuration file
 	lines   chan string // lines of its log; closed when the process ends
 }
@@ -69,7 +69,7 @@
 	}()
 	for deadline := time.Now().Add(startTimeout); !process.accepts(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the director does not listen after %v", startTimeout)
+			t.Fatalf("the director does not accept connections after %v", startTimeout)
 		}
 	}
 	return process
@@ -92,13 +92,13 @@
 		select {
 		case line, ok := <-p.lines:
 			if !ok {
-				t.Fatalf("the director ended without a log line that contains %q", parts)
+				t.Fatalf("the director ended; got no log line with %q", parts)
 			}
 			if containsAll(line, parts) {
 				return
 			}
 		case <-timeout:
-			t.Fatalf("no log line contains %q after %v", parts, logTimeout)
+			t.Fatalf("got no log line with %q after %v", parts, logTimeout)
 		}
 	}
 }
@@ -113,9 +113,9 @@
 	return true
 }
 
-// TestReloadOfUnreadableFiles: after SIGHUP with a file that cannot be read completely, the director logs why and keeps its
-// configuration. The next valid file is applied.
-func TestReloadOfUnreadableFiles(t *testing.T) {
+// TestReloadWithUnreadableFile checks that after SIGHUP with a file that cannot be read or parsed, the director logs the cause and keeps
+// its configuration, and that it applies the next valid file.
+func TestReloadWithUnreadableFile(t *testing.T) {
 	process := startServing(t)
 	path := process.config
 	complete, err := os.ReadFile(path)
@@ -128,7 +128,7 @@
 	}
 	cases := []struct {
 		name    string
-		prepare func() error // creates what path is to name; nothing is there before
+		prepare func() error // creates the file at path, where nothing exists before
 		want    string       // part of the log line
 	}{
 		{"EIO", func() error { return os.Symlink("/proc/self/mem", path) }, "input/output error"},
@@ -149,7 +149,7 @@
 			process.Process.Signal(syscall.SIGHUP)
 			process.waitLog(t, "level=error", "reload: invalid configuration, keeping the current one", test.want)
 			if !process.accepts() {
-				t.Error("the director no longer serves")
+				t.Error("the director no longer accepts connections")
 			}
 		})
 	}
@@ -163,6 +163,6 @@
 	for range process.lines {
 	}
 	if err := process.Wait(); err != nil {
-		t.Errorf("ended with %v", err)
+		t.Errorf("the director ended with %v, want no error", err)
 	}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -1,5 +1,5 @@
-// Package service runs a director as a process: its log, its signals, and the reading of its configuration. Optional parts of
-// serving are passed in through Options.
+// Package service runs a director as a process. It sets up the log, handles signals and reads the configuration. Optional features are
+// passed in through Options.
 package service
 
 import (
@@ -17,29 +17,29 @@
 	"indigochute.example/indigochute/internal/director"
 )
 
-// logCloseTimeout is how long Serve waits at its end for a reader of the log that hangs.
+// logCloseTimeout is how long Serve waits before it returns if the reader of the log hangs.
 const logCloseTimeout = time.Second
 
-// Options are the optional parts of serving. The zero value logs text at level info and has neither Watch nor Join.
+// Options are the optional features of Serve. The zero value logs text at level info and has neither Watch nor Join.
 type Options struct {
-	Level logrus.Level // least severe level that is logged; 0: info
+	Level logrus.Level // least severe level to log; 0: info
 	JSON  bool         // log lines are JSON
 
-	// Watch, where set, is called after the configuration is read. The Watcher that it returns is notified of each request
-	// that ended. Its Close is called after the last. Start is the start time of the director, with its monotonic part;
-	// RequestRecord.ArrivedAt counts from it. Serve returns an error of Watch.
+	// Watch, if not nil, is called after the configuration was read. The Watcher that it returns is notified of each request
+	// that has ended, and closed after the last one. start is the start time of the director, with its monotonic reading;
+	// RequestRecord.ArrivedAt counts from it. If Watch fails, Serve returns its error.
 	Watch func(conf *config.Config, start time.Time, log *logrus.Entry) (Watcher, error)
 
-	// Join, where set, is called before the director serves, and makes it a member of a cluster. The Member that it returns
-	// is notified of SIGHUP and of the signal to end. Serve returns an error of Join.
+	// Join, if not nil, is called before the director serves, and makes the director a member of a cluster. The Member that
+	// it returns is notified of SIGHUP and of the shutdown signal. If Join fails, Serve returns its error.
 	Join func(*config.Config, *director.Director, *logrus.Entry) (Member, error)
 }
 
 // Member is a director's membership of a cluster.
 type Member interface {
 	Reload() // reads the member's configuration again
-	Leave()  // hands over the leases; takes seconds at most
-	Close()  // is called last, once
+	Leave()  // hands over the leases; returns within seconds
+	Close()  // releases all resources; called once, after all other methods
 }
 
 // Watcher is notified of ended requests until it is closed.
@@ -48,12 +48,12 @@
 	Close() error
 }
 
-// Serve runs a director with the configuration file that ROUTER_CONFIG names, until SIGTERM or SIGINT. SIGHUP reads the file again.
-// Log lines go to logOutput, which may hang. Serve returns the first error of reading the configuration, of an option, of the
-// director, or of closing the Watcher.
+// Serve runs a director with the configuration file at the path in ROUTER_CONFIG until SIGTERM or SIGINT. On SIGHUP it reads the file
+// again. Log lines are written to logOutput, which may hang. Serve returns the first error of reading the configuration, of an option,
+// of the director, or of closing the Watcher.
 func Serve(logOutput io.Writer, options Options) (err error) {
-	// Signals are caught before the configuration is read, so that an early SIGHUP does not end the process. The channel holds
-	// one signal: a SIGHUP that comes while another is handled makes the director read the file once more.
+	// The handler for SIGHUP is installed before the configuration is read, so that an early SIGHUP does not end the process. The
+	// channel holds one signal: a SIGHUP that arrives while another is handled makes the director read the file once more.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	conf, err := config.FromEnv()
@@ -86,7 +86,7 @@
 	return runWithMember(ctx, cancel, served, member, reloads)
 }
 
-// newLogger returns a logger to out with the level and the format of the options.
+// newLogger returns a logger that writes to out with the level and the format of the options.
 func (o *Options) newLogger(out io.Writer) *logrus.Logger {
 	logger := logrus.New()
 	logger.SetOutput(out)
@@ -99,13 +99,13 @@
 	return logger
 }
 
-// runWithMember runs the director until ctx is done. The member leaves while the director finishes open requests, and has left when
-// runWithMember returns. Cancel must cancel ctx: runWithMember calls it so that the member also leaves where the director ends by
-// itself.
+// runWithMember runs the director until ctx is done. The member leaves the cluster while the director finishes open requests, and has
+// left when runWithMember returns. cancel must cancel ctx: runWithMember calls it, so that the member also leaves if the director ends
+// with an error.
 func runWithMember(ctx context.Context, cancel context.CancelFunc, served *director.Director, member Member, reloads chan os.Signal) error {
-	left := make(chan struct{})
+	memberLeft := make(chan struct{})
 	go func() {
-		defer close(left)
+		defer close(memberLeft)
 		<-ctx.Done()
 		member.Leave()
 	}()
@@ -113,12 +113,12 @@
 		member.Reload()
 		return config.FromEnv()
 	})
-	cancel() // the director may have ended by an error
-	<-left
+	cancel() // ctx is not done if the director ended with an error
+	<-memberLeft
 	return err
 }
 
-// firstError returns the first of two errors that is not nil, or nil.
+// firstError returns the first of two errors that is not nil, or nil if both are.
 func firstError(first, second error) error {
 	if first != nil {
 		return first
@@ -126,7 +126,7 @@
 	return second
 }
 
-// Check reads a configuration and prints a summary of it. It returns the first fault.
+// Check reads a configuration file and prints a summary of it. It returns the first error in the file.
 func Check(out io.Writer, path string) error {
 	conf, err := config.File(path, "", "")
 	if err != nil {
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -18,27 +18,27 @@
 	"indigochute.example/indigochute/internal/director"
 )
 
-// configuration is a director's configuration, with LISTEN in place of the port.
+// configuration is a director's configuration with LISTEN in place of the port.
 const configuration = `{"name":"n0","listen":"127.0.0.1:LISTEN","seed":"0000000000000007","journal":"127.0.0.1:1",
  "limits":{"cores":1,"memory_mb":64,"sockets":64},"known":{"pos":1,"entries":[]},
  "settings":{"classes":[{"name":"page","aim":200000,"deadline":200000,"idempotency":"read_like"}],
  "instances":1,"zone":0,"zones":["here"],"models":["box"],"limits":{"sendCap":4},
  "rules":{"fallMultiple":3,"tipAfter":3000000,"rampTime":9000000}}}`
 
-// restoreLimits restores the limits of the process, which Serve sets, at the end of the test.
+// restoreLimits restores the limits of the Go runtime, which Serve sets, at the end of the test.
 func restoreLimits(t *testing.T) {
 	t.Helper()
-	processors := runtime.GOMAXPROCS(0)
-	memory := debug.SetMemoryLimit(-1)
-	garbage := debug.SetGCPercent(100)
+	maxProcs := runtime.GOMAXPROCS(0)
+	memoryLimit := debug.SetMemoryLimit(-1)
+	gcPercent := debug.SetGCPercent(100)
 	t.Cleanup(func() {
-		debug.SetGCPercent(garbage)
-		debug.SetMemoryLimit(memory)
-		runtime.GOMAXPROCS(processors)
+		debug.SetGCPercent(gcPercent)
+		debug.SetMemoryLimit(memoryLimit)
+		runtime.GOMAXPROCS(maxProcs)
 	})
 }
 
-// writeConfiguration writes the configuration of a director that listens at a port, and returns its path.
+// writeConfiguration writes the configuration of a director that listens on the given port, and returns its path.
 func writeConfiguration(t *testing.T, port string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -48,12 +48,12 @@
 	return path
 }
 
-// TestWatchGetsTheStartOfTheDirector: Options.Watch gets the director's own start time, from which the times of its records count. It
-// has a monotonic part. A time read later would be wrong where the wall clock was stepped in between.
-func TestWatchGetsTheStartOfTheDirector(t *testing.T) {
+// TestWatchReceivesDirectorStartTime checks that Options.Watch receives the director's own start time, from which the times in its
+// records count, with a monotonic reading. A time taken later would be wrong if the wall clock was stepped in between.
+func TestWatchReceivesDirectorStartTime(t *testing.T) {
 	restoreLimits(t)
 	t.Setenv("ROUTER_CONFIG", writeConfiguration(t, "1"))
-	joined := errors.New("joining ends serving")
+	joined := errors.New("error of Join")
 	var watchStart, directorStart time.Time
 	err := Serve(io.Discard, Options{
 		Watch: func(_ *config.Config, start time.Time, _ *logrus.Entry) (Watcher, error) {
@@ -66,11 +66,11 @@
 		},
 	})
 	if !errors.Is(err, joined) || watchStart != directorStart || !strings.Contains(watchStart.String(), "m=") {
-		t.Errorf("error %v, want %v; Watch got start %v, want %v", err, joined, watchStart, directorStart)
+		t.Errorf("got error %v, want %v; Watch got start %v, want %v", err, joined, watchStart, directorStart)
 	}
 }
 
-// closingWatcher is a Watcher that can only be closed. Close returns err.
+// closingWatcher is a Watcher of which only Close may be called. Close returns err.
 type closingWatcher struct {
 	director.Observer
 	err error
@@ -85,21 +85,21 @@
 func (idleMember) Leave()  {}
 func (idleMember) Close()  {}
 
-// TestServeReturnsTheErrorOfClosingTheWatcher: Serve fails where the end of a capture could not be written, even though the director
-// itself ended as planned.
-func TestServeReturnsTheErrorOfClosingTheWatcher(t *testing.T) {
+// TestServeReturnsWatcherCloseError checks that Serve fails if the end of a capture could not be written, even if the director itself
+// ended without an error.
+func TestServeReturnsWatcherCloseError(t *testing.T) {
 	restoreLimits(t)
 	t.Setenv("ROUTER_CONFIG", writeConfiguration(t, "0"))
-	incomplete := errors.New("the end of the file is missing")
+	incomplete := errors.New("error of Close")
 	err := Serve(io.Discard, Options{
 		Watch: func(*config.Config, time.Time, *logrus.Entry) (Watcher, error) {
 			return closingWatcher{err: incomplete}, nil
 		},
 		Join: func(*config.Config, *director.Director, *logrus.Entry) (Member, error) {
-			return idleMember{}, syscall.Kill(syscall.Getpid(), syscall.SIGTERM) // Serve catches it by now
+			return idleMember{}, syscall.Kill(syscall.Getpid(), syscall.SIGTERM) // Serve has installed its handler by now
 		},
 	})
 	if !errors.Is(err, incomplete) {
-		t.Errorf("Serve returned %v, want %v", err, incomplete)
+		t.Errorf("Serve: got error %v, want %v", err, incomplete)
 	}
 }
--- a/internal/service/version.go
+++ b/internal/service/version.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Version returns the versions of the program and of Go and the revision of the sources, as far as the build recorded them.
+// Version returns the versions of the program and of Go, and the revision of the sources if the build recorded them.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
