--- a/internal/director/client_requests.go
+++ b/internal/director/client_requests.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// handleRequest registers a request as pending, or rejects it at once if too many are open.
+// handleRequest registers a request as pending, or rejects it immediately if too many are open.
 func (c *clientConn) handleRequest(r *request) error {
 	open, err := c.register(r)
 	if err != nil {
--- a/internal/director/deadline_test.go
+++ b/internal/director/deadline_test.go
@@ -288,7 +288,7 @@
 	directorConn, peerConn := w.acceptPair(listen(t))
 	conn := w.newDiallingConn(bareAttempt(r, "paused"))
 	if !conn.established(directorConn, nil) {
-		t.Fatal("not established")
+		t.Fatal("the connection is not established")
 	}
 	message, item, firstByteBy := conn.nextMessage()
 	time.Sleep(2 * writeSlice) // the pause
@@ -499,7 +499,7 @@
 		go c.read()
 	})
 	if timeout > readTimeout-unreadFor {
-		t.Errorf("a node is given %v for a request that came %v before", timeout, unreadFor)
+		t.Errorf("got timeout %v for a request that was unread for %v, want it shortened by that time", timeout, unreadFor)
 	}
 	tryUntilInTime(t, func() bool { return w.forwardedTimeout(nil) > readTimeout-unreadFor+unreadMargin })
 }
@@ -567,7 +567,7 @@
 		close(l.released)
 	})
 	if timeout > readTimeout-unreadFor {
-		t.Errorf("a node is given %v for a request that came %v before", timeout, unreadFor)
+		t.Errorf("got timeout %v for a request that was unread for %v, want it shortened by that time", timeout, unreadFor)
 	}
 	tryUntilInTime(t, func() bool {
 		time.Sleep(recentStallTime)
@@ -593,7 +593,7 @@
 		l.mu.Unlock()
 	})
 	if timeout > readTimeout-unreadFor {
-		t.Errorf("a node is given %v for a request that came %v before", timeout, unreadFor)
+		t.Errorf("got timeout %v for a request that was unread for %v, want it shortened by that time", timeout, unreadFor)
 	}
 	fresh := func() bool { return w.forwardedTimeout(nil) > readTimeout-unreadFor+unreadMargin }
 	tryUntilInTime(t, fresh)
@@ -621,7 +621,7 @@
 		w.director.clients.mu.Unlock()
 	})
 	if timeout > readTimeout-unreadFor {
-		t.Errorf("a node is given %v for a request that came %v before", timeout, unreadFor)
+		t.Errorf("got timeout %v for a request that was unread for %v, want it shortened by that time", timeout, unreadFor)
 	}
 	tryUntilInTime(t, func() bool { return w.forwardedTimeout(nil) > readTimeout-unreadFor+unreadMargin })
 	tryUntilInTime(t, func() bool {
--- a/internal/director/node_writer.go
+++ b/internal/director/node_writer.go
@@ -228,7 +228,7 @@
 }
 
 // handleAttemptWritten advances an attempt that was written completely. It ends one that was not, or whose connection has
-// ended meanwhile.
+// ended in the meantime.
 func (c *nodeConn) handleAttemptWritten(attempt *attempt, n, size int) {
 	switch {
 	case n == size && c.hasEndedLocked():
--- a/internal/director/request.go
+++ b/internal/director/request.go
@@ -176,7 +176,7 @@
 }
 
 // startAttempt begins an attempt: the first one or a retry. If the request is settled or past its deadline, the attempt ends
-// at once as NotSent.
+// immediately as NotSent.
 func (r *request) startAttempt(order routing.AttemptOrder) {
 	next := newAttempt(r, order)
 	r.attempts = append(r.attempts, next)
