--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -180,7 +180,7 @@
 // is a *RestartError.
 func (m *Member) Reload(file *clusterconfig.File) error {
 	m.mu.Lock()
-	if keys := file.FixedDifferences(m.file, m.name); len(keys) > 0 {
+	if keys := file.ChangesRequiringRestart(m.file, m.name); len(keys) > 0 {
 		m.mu.Unlock()
 		return &RestartError{Keys: keys}
 	}
@@ -195,7 +195,7 @@
 
 // RestartError is the error of an operator file that was not applied because it changes keys that take effect at a start only.
 type RestartError struct {
-	Keys []string // from clusterconfig.File.FixedDifferences
+	Keys []string // from clusterconfig.File.ChangesRequiringRestart
 }
 
 // Error names the keys.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -30,7 +30,7 @@
 	result := routing.Settings{
 		Index:             settings.integer("me"),
 		Zone:              settings.integer("zone"),
-		Hub:               settings.integers("domain.hubOf"),
+		HubOfZone:         settings.integers("domain.hubOf"),
 		ParentKind:        kind(settings, "domain.midKind"),
 		OriginKind:        kind(settings, "domain.sourceKind"),
 		BypassAllowed:     settings.isTrue("domain.mayPassBy"),
@@ -134,7 +134,7 @@
 		DedupWindow:      settings.duration(path + "window"),
 		FreshFor:         settings.item("domain.classFresh", index).duration(""),
 		StaleGrace:       settings.item("domain.classGrace", index).duration(""),
-		SplitInParts:     settings.item("domain.inParts", index).isTrue(""),
+		Segmented:        settings.item("domain.inParts", index).isTrue(""),
 		Write:            settings.item("domain.passOn", index).isTrue(""),
 		Effect:           effect(settings.text(path + "idempotency")),
 		DedupScope:       dedupScope(settings.text(path + "group")),
