--- a/cmd/director/faults_test.go
+++ b/cmd/director/faults_test.go
@@ -36,7 +36,7 @@
 // log line says why, then restores the file. Cause is a part of the line.
 func (r *reloadTrial) reloadFaulty(prepare func() error, cause string) {
 	r.t.Helper()
-	const faulty = "reload: faulty"
+	const faulty = "reload: invalid configuration"
 	saved := filepath.Join(r.t.TempDir(), "saved")
 	if err := os.Rename(r.path, saved); err != nil {
 		r.t.Fatal(err)
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -36,7 +36,7 @@
 // machines; it is added to the ages in the report.
 func (l *healthApplier) apply(now, age time.Duration, report *lease.HealthReport) {
 	for _, result := range l.accept(now, report) {
-		l.director.PeerHealth(result.Node, result.StartedUnix, result.Alive, result.Age+age)
+		l.director.HandlePeerHealth(result.Node, result.StartedUnix, result.Alive, result.Age+age)
 	}
 }
 
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -32,9 +32,9 @@
 	// CheckMachine makes a health check of a machine within a timeout. If a vhost and an object are given it requests that object
 	// as well. A check that is not conclusive, for instance after a failure of this host, has no result: alive must be ignored.
 	CheckMachine(machine director.Machine, timeout time.Duration, vhost, object string) (alive, conclusive bool)
-	// PeerHealth applies the result of a health check, which another instance may have made. The parameter startedUnix is the start
+	// HandlePeerHealth applies the result of a health check, which another instance may have made. The parameter startedUnix is the start
 	// time of the checked machine in Unix milliseconds, and age is the time since the check began.
-	PeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration)
+	HandlePeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration)
 }
 
 const (
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -113,7 +113,7 @@
 
 // TestSimulatorSettings: the text form of settings, as the simulator passes it.
 func TestSimulatorSettings(t *testing.T) {
-	s, err := config.Text(simulatorInfo)
+	s, err := config.ParseText(simulatorInfo)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -106,7 +106,7 @@
 	if b.err != nil {
 		return
 	}
-	settings, err := config.Text(string(text))
+	settings, err := config.ParseText(string(text))
 	if err != nil {
 		b.fail(b.recordStart, err, "create")
 		return
