--- a/internal/changefeed/backoff.go
+++ b/internal/changefeed/backoff.go
@@ -5,73 +5,73 @@
 	"time"
 )
 
-// SelectorConfig is the configuration of a LinkSelector. A duration of 0 stands for its default, except for DialSpread.
+// SelectorConfig is the configuration of a LinkSelector. Durations of 0 select the defaults, except for DialSpread.
 type SelectorConfig struct {
 	Name  string // name of the director
 	Place Place  // place of the director
-	Seed  uint64 // seed of the random parts of durations
+	Seed  uint64 // seed of the random parts of delays
 
-	// DialSpread is the time over which first dials, and dials after a lost link, spread at random; 0: they come at once. It
-	// guards a control machine against dials from all directors of a lost machine at the same moment.
+	// DialSpread is the period over which the first dials, and the dials after a lost link, are spread at random. With 0 they
+	// start immediately. The spread keeps all directors of a lost control machine from dialling another one at the same moment.
 	DialSpread time.Duration
-	// RetryDelay is the time from a failed dial to the dial of another machine. Half of it is random. The default is 100 ms.
+	// RetryDelay is the delay between a failed dial and the dial of another machine. Half of it is random. The default is 100 ms.
 	RetryDelay time.Duration
-	// MinBackoff is the time for which a machine is not dialled after a fault. Half of it is random. It doubles with each fault
-	// in a row, up to MaxBackoff. A link that was up for SteadyAfter ends the row. The defaults are 1 s, 5 s and 10 s.
+	// MinBackoff is the time for which a machine is not dialled after a fault. Half of it is random. It doubles with each
+	// consecutive fault, up to MaxBackoff. A link that was up for SteadyAfter resets it. The defaults are 1 s, 5 s and 10 s.
 	MinBackoff, MaxBackoff, SteadyAfter time.Duration
-	// TrialDelay is the time after the last fault of a better machine before it is tried again. A random part of up to the same
-	// length is added. The better machine takes over once its link has been up for TakeoverAfter. Both guard against links that
-	// move back and forth with a machine that flaps. The defaults are 20 s and 5 s.
+	// TrialDelay is the minimum time between the last fault of a more preferred machine and a trial link to it. A random delay of
+	// up to the same length is added. The machine takes over once its link has been up for TakeoverAfter. Both settings keep links
+	// from moving back and forth when a machine flaps. The defaults are 20 s and 5 s.
 	TrialDelay, TakeoverAfter time.Duration
 }
 
 // Defaults of a SelectorConfig.
 const (
-	defaultRetryDelay    = 100 * time.Millisecond
-	defaultMinBackoff    = time.Second
-	defaultMaxBackoff    = 5 * time.Second
-	defaultSteadyAfter   = 10 * time.Second
-	defaultTrialDelay    = 20 * time.Second
-	defaultTakeoverAfter = 5 * time.Second
+	defaultRetryDelay        = 100 * time.Millisecond
+	defaultMinBackoff        = time.Second
+	defaultMaxBackoff        = 5 * time.Second
+	defaultBackoffResetAfter = 10 * time.Second
+	defaultTrialDelay        = 20 * time.Second
+	defaultTakeoverAfter     = 5 * time.Second
 )
 
-// withDefaults returns the configuration with defaults in place of zeros.
+// withDefaults returns the configuration with zero values replaced by the defaults.
 func (c SelectorConfig) withDefaults() SelectorConfig {
 	c.RetryDelay = cmp.Or(c.RetryDelay, defaultRetryDelay)
 	c.MinBackoff = cmp.Or(c.MinBackoff, defaultMinBackoff)
 	c.MaxBackoff = cmp.Or(c.MaxBackoff, defaultMaxBackoff)
-	c.SteadyAfter = cmp.Or(c.SteadyAfter, defaultSteadyAfter)
+	c.SteadyAfter = cmp.Or(c.SteadyAfter, defaultBackoffResetAfter)
 	c.TrialDelay = cmp.Or(c.TrialDelay, defaultTrialDelay)
 	c.TakeoverAfter = cmp.Or(c.TakeoverAfter, defaultTakeoverAfter)
 	return c
 }
 
-// maxBackoffDoublings bounds the doubling of the backoff, so that the duration does not overflow.
+// maxBackoffDoublings limits the doubling of the backoff, so that the duration does not overflow.
 const maxBackoffDoublings = 16
 
-// machineRecord is what the selector remembers about a listed machine.
+// machineRecord holds the fault and dial history of a listed machine.
 type machineRecord struct {
-	faultsInRow   int
-	backoffUntil  time.Duration // the machine is not dialled before
-	noTrialBefore time.Duration // the machine is not tried as a better one before
-	dials         int           // dials since the machine was listed
+	consecutiveFaults int
+	backoffUntil      time.Duration // the machine is not dialled before this time
+	noTrialBefore     time.Duration // no trial link to the machine before this time
+	dials             int           // dials since the machine was listed
 }
 
-// recordFault begins a backoff for a machine. It also delays the next trial of the machine as a better one.
+// recordFault starts a backoff for a machine. It also delays the next trial link to it.
 func (s *LinkSelector) recordFault(now time.Duration, name string) {
 	record := s.records[name]
-	backoff := min(s.config.MaxBackoff, s.config.MinBackoff<<min(record.faultsInRow, maxBackoffDoublings))
-	record.faultsInRow++
+	backoff := min(s.config.MaxBackoff, s.config.MinBackoff<<min(record.consecutiveFaults, maxBackoffDoublings))
+	record.consecutiveFaults++
 	record.backoffUntil = now + backoff/2 + s.randomPart(backoff/2)
 	s.delayTrial(now, record)
 }
 
-// delayTrial delays the next trial of a machine as a better one, by TrialDelay to twice that.
+// delayTrial delays the next trial link to a machine by a random time between TrialDelay and twice TrialDelay.
 func (s *LinkSelector) delayTrial(now time.Duration, record *machineRecord) {
 	record.noTrialBefore = now + s.config.TrialDelay + s.randomPart(s.config.TrialDelay)
 }
 
-// updateRecords adds records of newly listed machines, and drops those of machines that are no longer listed.
+// updateRecords adds a record for each newly listed machine, and deletes the records of machines that are no longer listed.
 func (s *LinkSelector) updateRecords() {
 	for name := range s.records {
 		if _, listed := s.preferences.places[name]; !listed {
@@ -85,7 +85,7 @@
 	}
 }
 
-// IsBackingOff reports whether a machine is not dialled now because of its faults.
+// IsBackingOff reports whether a machine must not be dialled now because of earlier faults.
 func (s *LinkSelector) IsBackingOff(now time.Duration, name string) bool {
 	record := s.records[name]
 	return record != nil && now < record.backoffUntil
@@ -99,11 +99,11 @@
 	return 0
 }
 
-// randomPart returns a random part of a duration, from 0 to below the duration and evenly distributed. It is determined by the
-// seed, the name of the director and how many random numbers were drawn before.
+// randomPart returns a uniformly distributed random duration from 0 up to, but not including, the given duration. The result is
+// determined by the seed, the name of the director and the number of random numbers drawn before.
 func (s *LinkSelector) randomPart(duration time.Duration) time.Duration {
-	const mantissaBits = 53 // of a float64
+	const mantissaBits = 53 // precision of a float64
 	s.draws++
-	draw := rendezvous(s.config.Name, "chance", s.config.Seed^rendezvous("", "", s.draws))
+	draw := rendezvousHash(s.config.Name, "chance", s.config.Seed^rendezvousHash("", "", s.draws))
 	return time.Duration(float64(draw>>(64-mantissaBits)) / (1 << mantissaBits) * float64(duration))
 }
--- a/internal/changefeed/bench_test.go
+++ b/internal/changefeed/bench_test.go
@@ -7,15 +7,15 @@
 )
 
 // benchConfig returns the configuration of one of nine control machines.
-func benchConfig(me int) Config {
-	config := Config{Name: fmt.Sprintf("c%d", me), Epoch: 1}
+func benchConfig(index int) Config {
+	config := Config{Name: fmt.Sprintf("c%d", index), Epoch: 1}
 	for i := range 9 {
 		config.Origins = append(config.Origins, fmt.Sprintf("c%d", i))
 	}
 	return config
 }
 
-// fillNode gives a node a number of events of all nine origins in turn, each with a lifetime of an hour.
+// fillNode stores count events in a node, of all nine origins in turn, each with a lifetime of an hour.
 func fillNode(b testing.TB, node *Node, count int) {
 	b.Helper()
 	payload := make([]byte, 60)
@@ -37,10 +37,10 @@
 	}
 }
 
-// logSizes are the numbers of stored events in the benchmarks. The last one is the purges of an hour by docs/CAPACITY.md.
+// logSizes are the numbers of stored events in the benchmarks. The last one is the number of purges in an hour by docs/CAPACITY.md.
 var logSizes = []int{1000, 2000, 4000, 7740, 15480}
 
-// benchmarkSizes runs a benchmark with a node that stores each number of events.
+// benchmarkSizes runs a benchmark for each of logSizes, with a node that stores this number of events.
 func benchmarkSizes(b *testing.B, run func(b *testing.B, node *Node, size int)) {
 	for _, size := range logSizes {
 		node := New(benchConfig(0))
@@ -49,7 +49,7 @@
 	}
 }
 
-// BenchmarkScaleStreamNext measures the sending of one event to a subscriber that has all others.
+// BenchmarkScaleStreamNext measures Next for a subscriber that lacks one event.
 func BenchmarkScaleStreamNext(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, node *Node, _ int) {
 		cursor := node.Subscribe(node.Vector())
@@ -58,7 +58,7 @@
 		for b.Loop() {
 			last.number = last.log.head - 1
 			if len(node.Next(0, cursor, 16<<10)) != 1 {
-				b.Fatal("not one event")
+				b.Fatal("got another number of events than 1")
 			}
 		}
 	})
@@ -70,14 +70,14 @@
 		cursor := node.Subscribe(node.Vector())
 		for b.Loop() {
 			if len(node.Next(0, cursor, 16<<10)) != 0 {
-				b.Fatal("an event to one that has all")
+				b.Fatal("got events for a subscriber that has all, want none")
 			}
 		}
 	})
 }
 
-// BenchmarkScaleStreamCatchUp measures the sending of all stored events, encoded, to a subscriber that has none. It reports their
-// bytes, without frames and headers, as B/msg.
+// BenchmarkScaleStreamCatchUp measures Next and the encoding of all stored events for a subscriber that has none. It reports the
+// encoded bytes, without frames and headers, as B/msg.
 func BenchmarkScaleStreamCatchUp(b *testing.B) {
 	benchmarkSizes(b, func(b *testing.B, node *Node, size int) {
 		bytes := 0
@@ -93,7 +93,7 @@
 				bytes += len(AppendEvents(nil, list))
 			}
 			if sent != size {
-				b.Fatalf("%d events sent of %d", sent, size)
+				b.Fatalf("got %d events sent, want %d", sent, size)
 			}
 		}
 		b.ReportMetric(float64(bytes), "B/msg")
@@ -119,7 +119,7 @@
 	}
 }
 
-// BenchmarkScaleStreamTake measures the acceptance of one event by a reader, with events of a number of origins in turn.
+// BenchmarkScaleStreamTake measures Reader.Accept for one event, with events of several origins in turn.
 func BenchmarkScaleStreamTake(b *testing.B) {
 	for _, origins := range []int{3, 5, 9} {
 		b.Run(fmt.Sprintf("origins=%d", origins), func(b *testing.B) {
@@ -135,5 +135,5 @@
 	}
 }
 
-// benchOrigins are the names of nine control machines.
+// benchOrigins has the names of the nine control machines of benchConfig.
 var benchOrigins = benchConfig(0).Origins
--- a/internal/changefeed/config_test.go
+++ b/internal/changefeed/config_test.go
@@ -18,24 +18,24 @@
 	longName := strings.Repeat("x", MaxNameBytes+1)
 	for _, test := range []struct {
 		name        string
-		spoil       func(config *Config)
+		modify      func(config *Config)
 		wantProblem string
 	}{
-		{"unknown name", func(config *Config) { config.Name = "d" }, "not among"},
-		{"no epoch", func(config *Config) { config.Epoch = 0 }, "an epoch of 0"},
-		{"negative interval", func(config *Config) { config.CompareInterval = -1 }, "a comparison interval of"},
-		{"negative learn period", func(config *Config) { config.LearnPeriod = -1 }, "to learn epochs"},
-		{"negative entries", func(config *Config) { config.MaxEntries = -1 }, "events at most: 1"},
-		{"bytes of one payload", func(config *Config) { config.MaxBytes = MaxPayloadBytes }, "bytes at most"},
-		{"an origin twice", func(config *Config) { config.Origins = []string{"a", "b", "b"} }, "two control"},
-		{"empty origin", func(config *Config) { config.Origins = []string{"a", ""} }, `named ""`},
+		{"unknown name", func(config *Config) { config.Name = "d" }, "is not in the list"},
+		{"no epoch", func(config *Config) { config.Epoch = 0 }, "epoch is 0,"},
+		{"negative interval", func(config *Config) { config.CompareInterval = -1 }, "compare interval is"},
+		{"negative learn period", func(config *Config) { config.LearnPeriod = -1 }, "learn period is"},
+		{"negative entries", func(config *Config) { config.MaxEntries = -1 }, "events is -1, must be at least 1"},
+		{"bytes of one payload", func(config *Config) { config.MaxBytes = MaxPayloadBytes }, "maximum log size is"},
+		{"duplicate origin", func(config *Config) { config.Origins = []string{"a", "b", "b"} }, "\"b\" is listed twice"},
+		{"empty origin", func(config *Config) { config.Origins = []string{"a", ""} }, `control machine ""`},
 		{"long origin", func(config *Config) { config.Origins = []string{"a", longName} }, "1 to 64 bytes"},
 		{"too many origins", func(config *Config) { config.Origins = tooMany }, "33 control"},
-		{"bytes below the largest event", func(config *Config) { config.MaxBytes = minMaxBytes - 1 }, "65920 at least"},
+		{"bytes below the largest event", func(config *Config) { config.MaxBytes = minMaxBytes - 1 }, "at least 65920"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			config := valid
-			test.spoil(&config)
+			test.modify(&config)
 			if err := config.Check(); err == nil || !strings.Contains(err.Error(), test.wantProblem) {
 				t.Errorf("got %v, want an error with %q", err, test.wantProblem)
 			}
--- a/internal/changefeed/cursor.go
+++ b/internal/changefeed/cursor.go
@@ -7,24 +7,24 @@
 
 // Cursor is the position of one subscriber in the logs of a node.
 type Cursor struct {
-	ledger       ledger        // positions at the subscription, and in epochs whose log was dropped since
-	logPositions []logPosition // positions in the logs that the store has
-	storeVersion uint64        // version of the store when logPositions was made
-	nextLog      int           // index in logPositions of the log from which Next goes on
+	ledger       ledger        // positions at the time of the subscription, and in epochs whose log has been dropped since
+	logPositions []logPosition // positions in the logs of the store, as of storeVersion
+	storeVersion uint64        // version of the store when logPositions was built
+	nextLog      int           // index in logPositions of the log that the following call of Next reads first
 }
 
-// logPosition is the number that a subscriber has reached within one log.
+// logPosition is the number of the last event that a subscriber has read from one log.
 type logPosition struct {
 	log    *epochLog
 	number uint64
 }
 
-// noVersion is a version that no store reaches. It marks a cursor that has read no logs yet.
+// noVersion is a version that no store reaches. A cursor has it until its first refresh.
 const noVersion = math.MaxUint64
 
-// Subscribe returns a cursor for a subscriber that has reached the positions of a vector. If a position is ahead of its log, it is
-// counted, and no event of that epoch is sent until the log is past it, so that no event is sent twice. Positions of unknown
-// origins are counted and ignored. Positions beyond MaxPositions are ignored.
+// Subscribe returns a cursor for a subscriber that has reached the positions in vector. A position that is ahead of its log is
+// counted in Counts.Ahead. No event of that epoch is sent until the log has passed the position, so that no event is sent twice.
+// Positions of unknown origins are counted in Counts.Invalid and ignored. Positions after the first MaxPositions are ignored.
 func (n *Node) Subscribe(vector Vector) *Cursor {
 	c := &Cursor{ledger: ledger{}, storeVersion: noVersion}
 	vector = vector[:min(len(vector), MaxPositions)]
@@ -44,9 +44,9 @@
 	return c
 }
 
-// Next returns the events that follow the cursor, and moves the cursor behind them. The events must not be changed. They take up
-// to maxBytes, by Event.size, but at least one event is returned if there is any. The logs take turns, so that none starves. The
-// cost is one comparison for each log, a binary search in each log that has more, and the copying of the events.
+// Next returns the events that follow the cursor, and advances the cursor past them. The caller must not change the events. Their
+// total Event.size is at most maxBytes, but at least one event is returned if there is any. The logs are read in turn, so that none
+// starves. The cost is one comparison for each log, a binary search in each log that has unread events, and the copying of events.
 func (n *Node) Next(now time.Duration, c *Cursor, maxBytes int) []Event {
 	c.refresh(n.store)
 	batch := eventBatch{bytesLeft: maxBytes}
@@ -62,8 +62,8 @@
 	return batch.events
 }
 
-// refresh has the cursor read the logs that the store has now. It leaves out logs of epochs that are too far back for the ledger of
-// the subscriber, which would refuse their events.
+// refresh rebuilds logPositions if the logs of the store have changed. It leaves out logs of epochs that are too old for the ledger
+// of the subscriber, which would refuse their events.
 func (c *Cursor) refresh(s *store) {
 	if c.storeVersion == s.version {
 		return
--- a/internal/changefeed/cursor_test.go
+++ b/internal/changefeed/cursor_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// TestSubscriberAheadOfLog checks that a subscriber ahead of a log is sent no event of that epoch until the log is past its
-// position, and all other events at once.
+// TestSubscriberAheadOfLog checks that a subscriber that is ahead of a log receives no event of that epoch until the log has passed
+// its position, and receives all other events immediately.
 func TestSubscriberAheadOfLog(t *testing.T) {
 	node := New(testConfig("a", 1))
 	publish(t, node, 0, "x")
 	cursor := node.Subscribe(Vector{{"a", 1, 3}, {"b", 9, 2}, {"stranger", 1, 1}})
 	expectEqual(t, "positions ahead", node.Counts().Ahead, 2)
 	expectEqual(t, "positions of unknown origins", node.Counts().Invalid, 1)
-	expectEqual(t, "sent while behind the subscriber", numbers(node.Next(0, cursor, 1000)), []string(nil))
+	expectEqual(t, "sent while the log is behind the subscriber", numbers(node.Next(0, cursor, 1000)), []string(nil))
 
 	receiveEvents(node, 0, "b", testEvent("b", 8, 0, 1))
 	expectEqual(t, "sent of another epoch", numbers(node.Next(0, cursor, 1000)), []string{"b 8:(0,1]"})
@@ -23,12 +23,12 @@
 		receiveEvents(node, 0, "b", *testEvent("b", 9, i, i+1).with(func(event *Event) { event.Key = fmt.Sprint("9/", i) }))
 		publish(t, node, 0, fmt.Sprint("k", i))
 	}
-	expectEqual(t, "sent once past the subscriber", numbers(node.Next(0, cursor, 1000)), []string{"a 1:(3,4]", "b 9:(2,3]"})
+	expectEqual(t, "sent once the log has passed the subscriber", numbers(node.Next(0, cursor, 1000)), []string{"a 1:(3,4]", "b 9:(2,3]"})
 	expectEqual(t, "sent after that", numbers(node.Next(0, cursor, 1000)), []string(nil))
 }
 
-// TestNextIsBounded checks that Next keeps to its bytes, returns at least one event, and serves the origins in turn.
-func TestNextIsBounded(t *testing.T) {
+// TestNextObservesMaxBytes checks that Next observes maxBytes, returns at least one event, and serves the origins in turn.
+func TestNextObservesMaxBytes(t *testing.T) {
 	const (
 		eventsPerOrigin = 50
 		payloadBytes    = 900
@@ -58,9 +58,9 @@
 				expectEqual(t, "verdict", reader.Accept(&list[i]), Accepted)
 				sent[list[i].Origin]++
 			}
-			least, most := min(sent["a"], sent["b"], sent["c"]), max(sent["a"], sent["b"], sent["c"])
-			if most-least > 1+maxBytes/payloadBytes {
-				t.Fatalf("%d bytes: got %d events of one origin and %d of another, want the origins in turn", maxBytes, most, least)
+			fewest, most := min(sent["a"], sent["b"], sent["c"]), max(sent["a"], sent["b"], sent["c"])
+			if most-fewest > 1+maxBytes/payloadBytes {
+				t.Fatalf("%d bytes: got %d events of one origin and %d of another, want the origins in turn", maxBytes, most, fewest)
 			}
 		}
 		expectEqual(t, "accepted", reader.Counts().Accepted, eventsPerOrigin*len(origins))
--- a/internal/changefeed/encode.go
+++ b/internal/changefeed/encode.go
@@ -12,32 +12,32 @@
 // Errors of the Parse functions, in addition to those of package msgpack.
 var (
 	ErrOrder = errors.New("positions out of order")
-	ErrShape = errors.New("a list of another length than expected")
-	ErrKind  = errors.New("a message of an unknown kind")
+	ErrShape = errors.New("unexpected list length")
+	ErrKind  = errors.New("unknown message kind")
 )
 
-// Numbers of values in the lists that encode the types.
+// Lengths of the lists that encode a Position, an Event and a Message.
 const (
 	positionFields = 3
 	eventFields    = 10
 	messageFields  = 3
 )
 
-// maxMicros is the longest duration that is read, in microseconds. Longer durations are shortened to it.
+// maxMicros is the maximum of a decoded duration, in microseconds. Longer durations are shortened to it.
 const maxMicros = uint64(MaxLifetime / time.Microsecond)
 
-// lifetimeMicros returns a lifetime in whole microseconds, rounded down; 0 for a negative one. As ages are rounded up, no event
-// lasts longer by being forwarded.
+// lifetimeMicros returns a lifetime in whole microseconds, rounded down, or 0 if it is negative. Ages are rounded up, so that
+// forwarding never makes an event last longer.
 func lifetimeMicros(lifetime time.Duration) uint64 {
 	return uint64(max(0, lifetime) / time.Microsecond)
 }
 
-// ageMicros returns an age in whole microseconds, rounded up; 0 for a negative one.
+// ageMicros returns an age in whole microseconds, rounded up, or 0 if it is negative.
 func ageMicros(age time.Duration) uint64 {
 	return uint64((max(0, age) + time.Microsecond - 1) / time.Microsecond)
 }
 
-// AppendVector appends encoded positions.
+// AppendVector appends the encoded vector to b.
 func AppendVector(b []byte, vector Vector) []byte {
 	b = msgpack.AppendList(b, len(vector))
 	for _, position := range vector {
@@ -49,7 +49,7 @@
 	return b
 }
 
-// ParseVector reads encoded positions. It returns an error if there are more than MaxPositions, or if they are out of order
+// ParseVector decodes a vector. It returns an error if there are more than MaxPositions positions, or if they are out of order
 // (ErrOrder).
 func ParseVector(raw []byte) (Vector, error) {
 	values := newValueReader(raw)
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// AppendEvents appends encoded events. There must be at most MaxEvents.
+// AppendEvents appends the encoded events to b. There must be at most MaxEvents.
 func AppendEvents(b []byte, events []Event) []byte {
 	b = msgpack.AppendList(b, len(events))
 	for i := range events {
@@ -93,7 +93,7 @@
 	return msgpack.AppendBytes(b, event.Payload)
 }
 
-// ParseEvents reads encoded events. It returns an error if there are more than MaxEvents, or if a field is longer than its bound.
+// ParseEvents decodes events. It returns an error if there are more than MaxEvents, or if a field is longer than its bound.
 func ParseEvents(raw []byte) ([]Event, error) {
 	values := newValueReader(raw)
 	events := values.events()
@@ -103,7 +103,7 @@
 	return events, nil
 }
 
-// AppendMessage appends an encoded message. From and To are not encoded: the transport knows them.
+// AppendMessage appends the encoded message to b. From and To are left out, as the transport supplies them.
 func AppendMessage(b []byte, message *Message) []byte {
 	b = msgpack.AppendList(b, messageFields)
 	b = msgpack.AppendUint(b, uint64(message.Kind))
@@ -111,11 +111,11 @@
 	return AppendEvents(b, message.Events)
 }
 
-// ParseMessage reads an encoded message, without From and To. It returns an error if the kind is unknown (ErrKind), if positions are
-// out of order (ErrOrder), or if a list or a field is longer than its bound.
+// ParseMessage decodes a message, without From and To. It returns an error if the kind is unknown (ErrKind), if positions are out of
+// order (ErrOrder), or if a list or a field is longer than its bound.
 func ParseMessage(raw []byte) (Message, error) {
 	values := newValueReader(raw)
-	values.list(messageFields)
+	values.expectList(messageFields)
 	kind := values.Uint()
 	vector := values.vector()
 	events := values.events()
@@ -129,7 +129,7 @@
 	return Message{Kind: Kind(kind), Vector: vector, Events: events}, nil
 }
 
-// valueReader reads values one after the other, and lists of a fixed length. It remembers the first error.
+// valueReader decodes values in sequence and checks the lengths of lists. It records the first error of each kind.
 type valueReader struct {
 	*msgpack.Values
 	shapeError error
@@ -137,14 +137,14 @@
 
 func newValueReader(raw []byte) *valueReader { return &valueReader{Values: msgpack.NewValues(raw)} }
 
-// list reads the head of a list, which must have a given length.
-func (v *valueReader) list(length int) {
+// expectList reads the header of a list that must have the given length.
+func (v *valueReader) expectList(length int) {
 	if v.List(length) != length && v.shapeError == nil {
 		v.shapeError = ErrShape
 	}
 }
 
-// end returns the first error, or an error if more bytes follow.
+// end returns the first decoding error, or an error if more bytes follow, or else the first wrong list length.
 func (v *valueReader) end() error { return cmp.Or(v.End(), v.shapeError) }
 
 // vector reads up to MaxPositions positions.
@@ -153,7 +153,7 @@
 		if v.Err() != nil {
 			break
 		}
-		v.list(positionFields)
+		v.expectList(positionFields)
 		vector = append(vector, Position{Origin: v.Text(MaxNameBytes), Epoch: v.Uint(), Number: v.Uint()})
 	}
 	return vector
@@ -165,7 +165,7 @@
 		if v.Err() != nil {
 			break
 		}
-		v.list(eventFields)
+		v.expectList(eventFields)
 		events = append(events, Event{
 			Origin:   v.Text(MaxNameBytes),
 			Epoch:    v.Uint(),
--- a/internal/changefeed/encode_test.go
+++ b/internal/changefeed/encode_test.go
@@ -13,53 +13,53 @@
 )
 
 // randomEvent returns an event with random fields, each within its bounds.
-func randomEvent(chance *rand.Rand) Event {
-	number := func() uint64 { return chance.Uint64() >> chance.IntN(64) } // of any length in bits
+func randomEvent(rng *rand.Rand) Event {
+	number := func() uint64 { return rng.Uint64() >> rng.IntN(64) } // of a random length in bits
 	duration := func() time.Duration {
-		return time.Duration(chance.Int64N(int64(MaxLifetime/time.Microsecond))) * time.Microsecond
+		return time.Duration(rng.Int64N(int64(MaxLifetime/time.Microsecond))) * time.Microsecond
 	}
 	event := Event{
-		Origin:   strings.Repeat("o", 1+chance.IntN(MaxNameBytes)),
+		Origin:   strings.Repeat("o", 1+rng.IntN(MaxNameBytes)),
 		Epoch:    number(),
 		Number:   number(),
 		Prev:     number(),
 		LostUpTo: number(),
 		Fence:    number(),
-		Key:      strings.Repeat("k", chance.IntN(MaxKeyBytes+1)),
+		Key:      strings.Repeat("k", rng.IntN(MaxKeyBytes+1)),
 		Lifetime: duration(),
 		Age:      duration(),
 	}
-	if size := chance.IntN(300); size > 0 {
+	if size := rng.IntN(300); size > 0 {
 		event.Payload = make([]byte, size)
 	}
 	return event
 }
 
 // randomMessage returns a message with up to 19 positions and as many random events.
-func randomMessage(chance *rand.Rand) *Message {
-	message := &Message{Kind: Kind(chance.IntN(3))}
-	for i := range uint64(chance.IntN(20)) {
-		message.Vector = append(message.Vector, Position{strings.Repeat("o", int(1+i/3)), i, chance.Uint64()})
+func randomMessage(rng *rand.Rand) *Message {
+	message := &Message{Kind: Kind(rng.IntN(3))}
+	for i := range uint64(rng.IntN(20)) {
+		message.Vector = append(message.Vector, Position{strings.Repeat("o", int(1+i/3)), i, rng.Uint64()})
 	}
-	for range chance.IntN(20) {
-		message.Events = append(message.Events, randomEvent(chance))
+	for range rng.IntN(20) {
+		message.Events = append(message.Events, randomEvent(rng))
 	}
 	return message
 }
 
-// TestEncodingRoundTrip checks that encoded values are parsed as they were, and that they are rejected if they are truncated or
-// followed by other bytes.
+// TestEncodingRoundTrip checks that parsing returns the encoded values unchanged, and rejects input that is truncated or followed by
+// other bytes.
 func TestEncodingRoundTrip(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 1))
+	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		message := randomMessage(chance)
+		message := randomMessage(rng)
 		raw := AppendMessage(nil, message)
 		got, err := ParseMessage(raw)
 		if err != nil || !reflect.DeepEqual(&got, message) {
 			t.Fatalf("got %+v, %v, want %+v", got, err, message)
 		}
 		for range 20 {
-			if got, err := ParseMessage(raw[:chance.IntN(len(raw))]); err == nil || !reflect.DeepEqual(got, Message{}) {
+			if got, err := ParseMessage(raw[:rng.IntN(len(raw))]); err == nil || !reflect.DeepEqual(got, Message{}) {
 				t.Fatalf("truncated message: got %+v, %v, want an error", got, err)
 			}
 		}
@@ -67,8 +67,8 @@
 			t.Fatal("message with a byte after it: got no error, want one")
 		}
 		for i := range message.Events {
-			if one := AppendEvents(nil, message.Events[i:i+1]); len(one)-1 > message.Events[i].size() {
-				t.Fatalf("got an encoded event of %d bytes, want at most its size of %d", len(one)-1, message.Events[i].size())
+			if encoded := AppendEvents(nil, message.Events[i:i+1]); len(encoded)-1 > message.Events[i].size() {
+				t.Fatalf("got an encoded event of %d bytes, want at most its size of %d", len(encoded)-1, message.Events[i].size())
 			}
 		}
 	}
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestEncodingNeverExtendsLifetime checks that no event lasts longer by being forwarded: its lifetime is rounded down and its age
-// up, and both are bounded.
-func TestEncodingNeverExtendsLifetime(t *testing.T) {
+// TestEncodingDoesNotExtendLifetime checks that forwarding does not make an event last longer: its lifetime is rounded down, its age
+// is rounded up, and both are limited to MaxLifetime.
+func TestEncodingDoesNotExtendLifetime(t *testing.T) {
 	event := Event{Origin: "a", Epoch: 1, Number: 1, Lifetime: 10*time.Microsecond + 999, Age: 3*time.Microsecond + 1}
 	got, err := ParseEvents(AppendEvents(nil, []Event{event}))
 	if err != nil {
@@ -125,15 +125,15 @@
 		t.Errorf("vector of %d positions: got %d, %v, want all and no error", MaxPositions, len(vector), err)
 	}
 	for name, raw := range map[string][]byte{
-		"origins out of order":            AppendVector(nil, Vector{{"b", 1, 1}, {"a", 1, 1}}),
-		"epochs out of order":             AppendVector(nil, Vector{{"a", 2, 1}, {"a", 1, 1}}),
-		"an epoch twice":                  AppendVector(nil, Vector{{"a", 1, 1}, {"a", 1, 2}}),
-		"a name too long":                 AppendVector(nil, Vector{{strings.Repeat("x", MaxNameBytes+1), 1, 1}}),
-		"two values":                      shortPosition,
-		"two values, then one outside it": append(slices.Clone(shortPosition), 1),
-		"a list longer than the input":    {0xdd, 0xff, 0xff, 0xff, 0xff},
-		"a number instead of a list":      {1},
-		"no bytes":                        {},
+		"origins out of order":                 AppendVector(nil, Vector{{"b", 1, 1}, {"a", 1, 1}}),
+		"epochs out of order":                  AppendVector(nil, Vector{{"a", 2, 1}, {"a", 1, 1}}),
+		"a duplicate epoch":                    AppendVector(nil, Vector{{"a", 1, 1}, {"a", 1, 2}}),
+		"a name too long":                      AppendVector(nil, Vector{{strings.Repeat("x", MaxNameBytes+1), 1, 1}}),
+		"two values":                           shortPosition,
+		"two values and a third after its end": append(slices.Clone(shortPosition), 1),
+		"a list longer than the input":         {0xdd, 0xff, 0xff, 0xff, 0xff},
+		"a number instead of a list":           {1},
+		"no bytes":                             {},
 	} {
 		if vector, err := ParseVector(raw); err == nil || vector != nil {
 			t.Errorf("vector with %s: got %v, %v, want an error", name, vector, err)
@@ -164,31 +164,31 @@
 	}
 }
 
-// TestParseToleratesNoise parses random bytes, and messages with some bytes changed. Nothing panics, and what can be parsed can be
-// encoded and parsed again.
-func TestParseToleratesNoise(t *testing.T) {
-	chance := rand.New(rand.NewPCG(2, 2))
+// TestParseRandomBytes parses random bytes, and messages with some bytes changed. No parser, node or reader may panic, and values that
+// can be parsed must be the same after they are encoded and parsed again.
+func TestParseRandomBytes(t *testing.T) {
+	rng := rand.New(rand.NewPCG(2, 2))
 	parsed := 0
 	for i := range 10000 {
-		raw := make([]byte, chance.IntN(100))
+		raw := make([]byte, rng.IntN(100))
 		for k := range raw {
-			raw[k] = byte(chance.Uint32())
+			raw[k] = byte(rng.Uint32())
 		}
 		if i%2 == 0 {
-			raw = AppendMessage(nil, randomMessage(chance))
-			for range 1 + chance.IntN(3) {
-				raw[chance.IntN(len(raw))] = byte(chance.Uint32())
+			raw = AppendMessage(nil, randomMessage(rng))
+			for range 1 + rng.IntN(3) {
+				raw[rng.IntN(len(raw))] = byte(rng.Uint32())
 			}
 		}
 		parsed += parseAll(t, raw)
 	}
 	if parsed == 0 {
-		t.Error("nothing could be parsed, so nothing was tried")
+		t.Error("got no input that could be parsed, want some")
 	}
 }
 
-// parseAll parses bytes as each type, passes what can be parsed to a node and a reader, and returns how many types it could be
-// parsed as.
+// parseAll parses bytes as each type and passes the parsed values to a node and a reader. It returns the number of types as which the
+// bytes could be parsed.
 func parseAll(t *testing.T, raw []byte) (parsed int) {
 	t.Helper()
 	if vector, err := ParseVector(raw); err == nil {
@@ -229,9 +229,9 @@
 
 // FuzzParse checks that no input makes a parser, a node or a reader panic.
 func FuzzParse(f *testing.F) {
-	chance := rand.New(rand.NewPCG(3, 3))
+	rng := rand.New(rand.NewPCG(3, 3))
 	for range 20 {
-		message := randomMessage(chance)
+		message := randomMessage(rng)
 		f.Add(AppendMessage(nil, message))
 		f.Add(AppendVector(nil, message.Vector))
 		f.Add(AppendEvents(nil, message.Events))
--- a/internal/changefeed/epochs.go
+++ b/internal/changefeed/epochs.go
@@ -11,7 +11,7 @@
 //	phaseCreated  -> phaseLearning  at the first Tick
 //	phaseLearning -> phaseSettled   Config.LearnPeriod after the first Tick
 //
-// Before it has settled, the node learns the epochs of its earlier incarnations, and hides its own events from all others. A
+// Until it has settled, the node collects the epochs of its earlier incarnations, and hides its own events from all others. A
 // node without a LearnPeriod is settled from the start.
 type phase uint8
 
@@ -24,16 +24,16 @@
 // setPhase changes the phase.
 func (n *Node) setPhase(to phase) {
 	n.phase = to
-	n.store.setHidden(to != phaseSettled) // cursors begin to read the own log when it becomes visible
+	n.store.setHidden(to != phaseSettled) // cursors read the node's own log once it is visible
 }
 
 // Epoch returns the epoch of this incarnation. The node may still raise it.
 func (n *Node) Epoch() uint64 { return n.store.own.epoch }
 
-// Settled reports whether the node has learnt the epochs of its earlier incarnations, and sends others what it publishes.
+// Settled reports whether the node has finished collecting the epochs of its earlier incarnations, and so sends its events to others.
 func (n *Node) Settled() bool { return n.phase == phaseSettled }
 
-// advancePhase changes to the phase that is due.
+// advancePhase changes the phase if the next one is due.
 func (n *Node) advancePhase(now time.Duration) {
 	if n.phase == phaseCreated {
 		n.started = now
@@ -45,7 +45,7 @@
 	}
 }
 
-// learnEpochs learns the epochs of earlier incarnations from the positions and events of a message or a subscriber.
+// learnEpochs records the epochs of earlier incarnations that the positions and events of a message or a subscriber show.
 func (n *Node) learnEpochs(vector Vector, events []Event) {
 	for _, position := range vector {
 		n.learnEpoch(position)
@@ -57,10 +57,10 @@
 	}
 }
 
-// learnEpoch handles a position that a machine or a subscriber reported. A position of this origin in a higher epoch is that of an
-// earlier incarnation, whose wall clock was ahead of the present one. So is a position in the present epoch while the node hides
-// its events. In both cases the node moves to a higher epoch. Otherwise others would mistake its new events for old ones, or keep
-// an old event of a key in place of a new one.
+// learnEpoch handles a position that a machine or a subscriber reported. A position of this origin in a higher epoch comes from an
+// earlier incarnation, whose wall clock was ahead of the present one. The same holds for a position in the present epoch while the
+// node hides its events. In both cases the node moves to a higher epoch. Otherwise others would mistake its new events for old ones,
+// or keep an old event of a key in place of a new one.
 func (n *Node) learnEpoch(position Position) {
 	if position.Origin != n.config.Name || position.Epoch < n.Epoch() {
 		return
@@ -76,21 +76,21 @@
 	}
 }
 
-// renewIfExceeded begins an epoch above those that were reported after the node settled. It does so at most once in a
-// CompareInterval, so that reports of ever higher epochs cannot keep the node busy.
+// renewIfExceeded begins a new epoch if one above the present epoch was reported after the node settled. It does so at most once per
+// CompareInterval, so that a series of reports of ever higher epochs cannot overload the node.
 func (n *Node) renewIfExceeded() {
 	if n.reportedEpoch > n.Epoch() && n.clock >= n.nextRenewal {
 		n.renew(n.reportedEpoch + 1)
 	}
 }
 
-// renew begins a higher epoch after the present one became known to others. It publishes the live events of the present epoch again
-// in the new one. There they supersede what an earlier incarnation published under the same keys.
+// renew begins a higher epoch when others already know the present one. It publishes the live events of the present epoch again
+// in the new one, where they supersede the events that an earlier incarnation published under the same keys.
 func (n *Node) renew(epoch uint64) {
 	n.store.expire(n.clock)
 	former := n.store.own
 	entries := slices.Clone(former.entries)
-	if _, ok := n.reader.ledger.position(n.config.Name, former.epoch); ok { // from now on it is an earlier epoch like any other
+	if _, ok := n.reader.ledger.position(n.config.Name, former.epoch); ok { // from now on the former epoch is handled like that of any earlier incarnation
 		n.reader.ledger.setPosition(n.config.Name, former.epoch, former.head)
 	}
 	n.store.own = n.store.openLog(n.config.Name, epoch)
--- a/internal/changefeed/event.go
+++ b/internal/changefeed/event.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	// logEpochs is the number of epochs of one origin of which a node has logs.
+	// logEpochs is the maximum number of epochs of one origin for which a node keeps logs.
 	logEpochs = 16
-	// readerEpochs is the number of epochs of one origin in which a reader knows its position. It is above logEpochs, so that a
-	// reader knows its position in every log that a node may still send.
+	// readerEpochs is the maximum number of epochs of one origin for which a reader keeps its position. It is above logEpochs, so
+	// that a reader has a position for every log that a node may still send.
 	readerEpochs = 64
 )
 
-// Position tells how far the events of one origin have been read within one epoch: all events up to Number.
+// Position states that all events of one origin and epoch up to Number have been read.
 type Position struct {
 	Origin string `json:"origin"`
 	Epoch  uint64 `json:"epoch"`
@@ -49,7 +49,7 @@
 	return cmp.Or(cmp.Compare(a.Origin, b.Origin), cmp.Compare(a.Epoch, b.Epoch))
 }
 
-// At returns the number reached within one epoch of an origin; 0 if the vector has no position in it.
+// At returns the number reached within one epoch of an origin, or 0 if the vector has no position for that epoch.
 func (vector Vector) At(origin string, epoch uint64) uint64 {
 	if i, found := slices.BinarySearchFunc(vector, Position{origin, epoch, 0}, comparePositions); found {
 		return vector[i].Number
@@ -57,27 +57,27 @@
 	return 0
 }
 
-// Event is what an origin publishes. An event whose Age is not below its Lifetime only carries its number: everything in
-// (Prev, Number] was superseded or has expired.
+// Event is an event that an origin published. An event whose Age has reached its Lifetime carries only its number: it reports that
+// all events in (Prev, Number] were superseded or have expired.
 type Event struct {
 	Origin   string
 	Epoch    uint64
 	Number   uint64 // 1, 2, ... within the epoch
-	Prev     uint64 // everything in (Prev, Number) was superseded or has expired at the sender
-	LostUpTo uint64 // events up to this number, in (Prev, Number], were evicted and are lost; 0: none
+	Prev     uint64 // all events in (Prev, Number) were superseded or have expired at the sender
+	LostUpTo uint64 // events up to this number, in (Prev, Number], were evicted and are lost; 0 if none are lost
 	Key      string // a newer event of the same origin and key supersedes this one
-	// Fence is the fencing number. An event of any origin with the same key and a higher fencing number supersedes this event;
-	// 0: the event is not fenced.
+	// Fence is the fencing number. An event of any origin with the same key and a higher fencing number supersedes this event.
+	// An event with fencing number 0 is not fenced.
 	Fence    uint64
 	Lifetime time.Duration // from publication to expiry
-	Age      time.Duration // part of Lifetime that the event spent at the machines that stored it, without time in transit
+	Age      time.Duration // time that the event has spent at the machines that stored it, without time in transit
 	Payload  []byte
 }
 
-// isExpired reports whether the lifetime of an event is over as it arrives.
+// isExpired reports whether an event has reached the end of its lifetime on arrival.
 func (e *Event) isExpired() bool { return e.Age >= e.Lifetime }
 
-// isValid reports whether an origin can have published such an event.
+// isValid reports whether the fields of an event are within their bounds, so that an origin can have published it.
 func (e *Event) isValid() bool {
 	validNumbers := e.Epoch > 0 && e.Prev < e.Number
 	validLoss := e.LostUpTo == 0 || e.Prev < e.LostUpTo && e.LostUpTo <= e.Number
@@ -86,27 +86,27 @@
 	return validNumbers && validLoss && validSize && validLifetime
 }
 
-// eventHeadBytes is the maximum size of an encoded event without the bytes of its origin, key and payload.
-const eventHeadBytes = 1 + // head of the list
-	2 + // head of the origin
+// eventHeadBytes is the maximum size of an encoded event, not counting the contents of its origin, key and payload.
+const eventHeadBytes = 1 + // header of the list
+	2 + // header of the origin
 	5*9 + // epoch, number, prev, lost and fence
-	2 + // head of the key
+	2 + // header of the key
 	2*9 + // lifetime and age
-	5 // head of the payload
+	5 // header of the payload
 
-// size returns the number of bytes that an event counts against a bound. It is never less than the size of the encoded event.
+// size returns the number of bytes that an event counts towards a limit. It is never less than the size of the encoded event.
 func (e *Event) size() int { return len(e.Origin) + len(e.Key) + len(e.Payload) + eventHeadBytes }
 
-// Kind is the kind of a message. The values are on the wire.
+// Kind is the kind of a message. The values are sent on the wire.
 type Kind uint8
 
 const (
 	// Positions reports the positions of the sender.
 	Positions Kind = iota
-	// Fetch asks for the events that follow the positions in it.
+	// Fetch requests the events that follow the positions in the vector.
 	Fetch
-	// Events carries events. If it has a vector, it ends the answer to a Fetch, and the vector reports how far the logs of the
-	// sender go.
+	// Events carries events. If it has a vector, it is the last message of the answer to a Fetch, and the vector has the heads of
+	// the sender's logs.
 	Events
 )
 
--- a/internal/changefeed/fetch.go
+++ b/internal/changefeed/fetch.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Bounds of what control machines fetch from each other.
+// Limits on fetches between control machines.
 const (
 	maxFetchPositions   = 256      // positions in one Fetch
-	maxAnswerPieceBytes = 64 << 10 // size of a piece of an answer, unless it is a single event
-	maxAnswerPieces     = 8        // pieces of one answer
-	maxOpenFetches      = 4096     // epochs of origins that are fetched at once
+	maxAnswerPieceBytes = 64 << 10 // bytes in one piece of an answer; a single event may exceed it
+	maxAnswerPieces     = 8        // pieces in one answer
+	maxOpenFetches      = 4096     // epochs of all origins that are being fetched at the same time
 
-	// fetchTimeoutIntervals is the time, in CompareIntervals, after which another machine is asked.
+	// fetchTimeoutIntervals is the timeout of a fetch, in CompareIntervals. After it another machine is asked.
 	fetchTimeoutIntervals = 2
-	// claimLifetimeIntervals is the time, in CompareIntervals, after which the claims of an unresponsive machine are dropped.
+	// claimLifetimeIntervals is the time, in CompareIntervals, after which the claims of a machine that sends nothing are dropped.
 	claimLifetimeIntervals = 4
 )
 
-// claims are the positions of another control machine that are ahead of this node.
+// claims holds the positions that another control machine reports and this node has not reached.
 type claims struct {
 	lastHeard time.Duration
 	positions Vector
 }
 
-// openFetch is the fetch of one epoch of one origin from another control machine.
+// openFetch is a fetch in progress: of one epoch of one origin, from another control machine.
 type openFetch struct {
-	to          string        // machine that was asked
-	startedFrom uint64        // position of this node when it asked
-	expires     time.Duration // when another machine is asked instead
+	source      string        // machine that was asked
+	startedFrom uint64        // position of this node when it sent the fetch
+	expires     time.Duration // when the fetch times out and another machine is asked
 }
 
-// positionsAhead returns the positions of a vector that are ahead of this node, in at most the newest logEpochs epochs of each
-// origin. No node has logs of more epochs, so further claims are not worth storing.
+// positionsAhead returns the positions of a vector that are ahead of this node, limited to the newest logEpochs epochs of each
+// origin. No node keeps logs of more epochs, so claims for older ones could not be fetched.
 func (n *Node) positionsAhead(vector Vector) (ahead Vector) {
 	for _, position := range vector {
 		if !n.isOrigin(position.Origin) {
@@ -73,7 +73,7 @@
 	claim.positions = n.positionsAhead(slices.Insert(claim.positions, index, position))
 }
 
-// dropOldClaims drops the claims that this node has caught up with, and those of unresponsive machines.
+// dropOldClaims drops the claims that this node has caught up with, and all claims of unresponsive machines.
 func (n *Node) dropOldClaims(now time.Duration) {
 	for _, name := range n.config.Origins {
 		claim := n.claims[name]
@@ -88,9 +88,9 @@
 	}
 }
 
-// fetchMissing asks for the events that others claim to have. It asks one machine for each epoch of an origin, and another one if
-// that machine sent nothing in time. So a claim to events that no machine has costs one message per timeout, and does not delay
-// other fetches.
+// fetchMissing requests the events that others claim to have and this node lacks. For each epoch of an origin it asks one machine,
+// and after a timeout without events the next one. So a claim to events that no machine has costs one message per timeout, and does
+// not delay other fetches.
 func (n *Node) fetchMissing(now time.Duration) (out []Message) {
 	n.dropOldClaims(now)
 	wanted := map[string]Vector{} // by machine to ask
@@ -105,15 +105,15 @@
 			}
 			position.Number = n.position(position.Origin, position.Epoch)
 			to := n.chooseSource(position)
-			n.openFetches[epochIDOf(position)] = openFetch{to: to, startedFrom: position.Number, expires: now + n.fetchTimeout()}
+			n.openFetches[epochIDOf(position)] = openFetch{source: to, startedFrom: position.Number, expires: now + n.fetchTimeout()}
 			wanted[to] = append(wanted[to], position)
 		}
 	}
 	return n.fetchMessages(wanted)
 }
 
-// mayFetch reports whether an epoch may be fetched: its fetch has timed out, or it is not being fetched and the number of open
-// fetches is below its bound.
+// mayFetch reports whether a fetch of an epoch may be sent: either its last fetch has timed out, or there is none and the number of
+// open fetches is below maxOpenFetches.
 func (n *Node) mayFetch(now time.Duration, id epochID) bool {
 	fetch, isOpen := n.openFetches[id]
 	if isOpen {
@@ -122,10 +122,10 @@
 	return len(n.openFetches) < maxOpenFetches
 }
 
-// fetchTimeout returns the time after which another machine is asked.
+// fetchTimeout returns the time after which a fetch without an answer is sent to another machine.
 func (n *Node) fetchTimeout() time.Duration { return fetchTimeoutIntervals * n.config.CompareInterval }
 
-// fetchMessages returns the messages that ask each machine for what follows its positions.
+// fetchMessages returns the Fetch messages for the wanted positions, which are given by machine to ask.
 func (n *Node) fetchMessages(wanted map[string]Vector) (out []Message) {
 	for _, to := range n.config.Origins {
 		positions := wanted[to]
@@ -138,9 +138,9 @@
 	return out
 }
 
-// chooseSource returns the machine to ask for what follows a position. The candidates are the machines that claim to be ahead. The
-// first choice is the origin, or one by hash if the origin is no candidate. After a machine whose fetch timed out the next
-// candidate is chosen.
+// chooseSource returns the machine to ask for the events that follow a position. The candidates are the machines that claim to be
+// ahead of it. The first choice is the origin, or a candidate by hash if the origin is none. After a timeout the choice is the
+// candidate that follows the machine that was asked, in the order of names.
 func (n *Node) chooseSource(position Position) string {
 	var candidates []string // sorted
 	for _, name := range n.config.Origins {
@@ -155,14 +155,14 @@
 		}
 		return candidates[sourceHash(n.config.Name, position)%uint64(len(candidates))]
 	}
-	next, found := slices.BinarySearch(candidates, former.to)
+	next, found := slices.BinarySearch(candidates, former.source)
 	if found {
 		next++
 	}
 	return candidates[next%len(candidates)]
 }
 
-// sourceHash spreads the first fetches of control machines over the machines that they may ask.
+// sourceHash returns a hash that spreads the first fetches of control machines over the candidates.
 func sourceHash(name string, position Position) uint64 {
 	hash := fnv.New64a()
 	fmt.Fprint(hash, name, "/", position.Origin, "/", position.Epoch)
@@ -170,7 +170,7 @@
 	return sum ^ sum>>32
 }
 
-// dropUnclaimedFetches drops fetches that timed out and that no machine claims to be able to answer.
+// dropUnclaimedFetches drops fetches that have timed out and for which no machine claims to have events.
 func (n *Node) dropUnclaimedFetches(now time.Duration) {
 	for id, fetch := range n.openFetches {
 		if now >= fetch.expires && !n.isClaimed(id) {
@@ -199,10 +199,10 @@
 	return &fetchAnswer{from: from, to: to, batch: eventBatch{bytesLeft: maxAnswerPieceBytes}}
 }
 
-// isFull reports whether the answer has all the pieces that it may have.
+// isFull reports whether the answer has reached maxAnswerPieces.
 func (a *fetchAnswer) isFull() bool { return len(a.pieces) >= maxAnswerPieces }
 
-// finishPiece ends the unfinished piece and begins another one.
+// finishPiece completes the unfinished piece and begins another one.
 func (a *fetchAnswer) finishPiece() {
 	a.pieces = append(a.pieces, Message{Kind: Events, From: a.from, To: a.to, Events: a.batch.events})
 	a.batch = eventBatch{bytesLeft: maxAnswerPieceBytes}
@@ -217,8 +217,8 @@
 	}
 }
 
-// finish returns the pieces of the answer. The last one carries the heads of the logs. There is at least one piece, which may have
-// no events.
+// finish returns the pieces of the answer, and puts the heads of the logs into the last one. There is at least one piece, which may
+// have no events.
 func (a *fetchAnswer) finish(heads Vector) []Message {
 	hasUnfinished := len(a.batch.events) > 0 && !a.isFull()
 	if hasUnfinished || len(a.pieces) == 0 {
@@ -228,8 +228,8 @@
 	return a.pieces
 }
 
-// answerFetch answers another machine with the events that follow its positions, in pieces. The last piece reports how far the logs
-// go. If the pieces do not reach that, the other machine asks again.
+// answerFetch returns the answer to a Fetch: the events that follow its positions, in pieces. The last piece reports the heads of the
+// logs. If the events do not reach the heads, the other machine fetches again.
 func (n *Node) answerFetch(now time.Duration, message *Message) []Message {
 	if len(message.Vector) > maxFetchPositions {
 		n.counts.Invalid++
@@ -251,8 +251,8 @@
 	return answer.finish(heads)
 }
 
-// logToFetch returns the log that is fetched from a position. It returns nil, and counts that, for an unknown origin, for an evicted
-// epoch, whose losses are not known any more, and for a position ahead of the log.
+// logToFetch returns the log from which a fetched position is answered. It returns nil and increments a counter if the origin is
+// unknown, if the epoch was evicted, so that its losses are no longer known, or if the position is ahead of the log.
 func (n *Node) logToFetch(position Position) *epochLog {
 	if !n.isOrigin(position.Origin) {
 		n.counts.Invalid++
@@ -273,8 +273,8 @@
 	return &epochLog{origin: position.Origin, epoch: position.Epoch, head: head} // all its events have expired, and the log was dropped
 }
 
-// handleEvents accepts events, and asks for events that are missing before them. It returns the messages to send and the accepted
-// events.
+// handleEvents decides on the events of a message, and requests events that are missing before them. It returns the messages to send
+// and the accepted events.
 func (n *Node) handleEvents(now time.Duration, message *Message) (out []Message, fresh []Event) {
 	n.store.expire(now)
 	isMissing := false
@@ -302,7 +302,7 @@
 	return out, fresh
 }
 
-// extendFetch gives a machine that answers a fetch more time for the rest of the answer.
+// extendFetch restarts the timeout of a fetch after an event of its answer has arrived.
 func (n *Node) extendFetch(now time.Duration, from string, id epochID) {
 	if !n.isFetchedFrom(from, id) {
 		return
@@ -315,11 +315,11 @@
 // isFetchedFrom reports whether an epoch is being fetched from a machine.
 func (n *Node) isFetchedFrom(from string, id epochID) bool {
 	fetch, isOpen := n.openFetches[id]
-	return isOpen && fetch.to == from
+	return isOpen && fetch.source == from
 }
 
-// finishFetches handles the end of an answer. A machine that sent events may have more, and is asked again at once. If it sent none,
-// its fetches stay open until they time out, and then another machine is asked.
+// finishFetches handles the last message of an answer. A machine that sent events may have more, so its fetches are closed, and it can
+// be asked again immediately. If it sent none, its fetches stay open until they time out, and then another machine is asked.
 func (n *Node) finishFetches(now time.Duration, message *Message) {
 	sentEvents := slices.ContainsFunc(message.Vector, func(position Position) bool {
 		id := epochIDOf(position)
@@ -350,7 +350,7 @@
 }
 
 // acceptEvent decides on one event of another machine, and stores it if it is live and not superseded. The verdict is Expired for
-// every event that moves the position but must not be handed on.
+// every event that advances the position but must not be passed on.
 func (n *Node) acceptEvent(now time.Duration, event *Event) Verdict {
 	if event.Origin == n.config.Name && event.Epoch == n.Epoch() {
 		return n.rejectOwnEvent(event)
@@ -361,7 +361,7 @@
 	}
 	position := n.position(event.Origin, event.Epoch)
 	verdict := n.reader.Accept(event)
-	if !verdict.movesPosition() {
+	if !verdict.advancesPosition() {
 		return verdict
 	}
 	log := n.store.openLog(event.Origin, event.Epoch)
--- a/internal/changefeed/fetch_test.go
+++ b/internal/changefeed/fetch_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestEvictionAtOriginIsNoLoss checks that an event that was evicted only at its origin is not reported as lost. Other machines may
-// have it, so it is fetched.
-func TestEvictionAtOriginIsNoLoss(t *testing.T) {
+// TestEvictionAtOriginIsNotReportedAsLoss checks that an event that was evicted only at its origin is not reported as lost, but
+// fetched, because other machines may still have it.
+func TestEvictionAtOriginIsNotReportedAsLoss(t *testing.T) {
 	config := testConfig("a", 1)
 	config.MaxEntries = 1
 	a, b, c := New(config), New(testConfig("b", 1)), New(testConfig("c", 1))
@@ -22,7 +22,7 @@
 	expectEqual(t, "losses", b.Counts().Losses, 0)
 }
 
-// TestUnanswerableFetches checks that fetches that cannot be answered are counted, and do not prevent answers to others.
+// TestUnanswerableFetches checks that positions that cannot be answered are counted, and do not prevent answers to other positions.
 func TestUnanswerableFetches(t *testing.T) {
 	node := New(testConfig("a", 1))
 	publish(t, node, 0, "x")
@@ -31,9 +31,9 @@
 		expectEqual(t, "accepted", len(fresh), 0)
 		return out
 	}
-	expectEqual(t, "answers ahead of the log", len(fetch(Vector{{"a", 1, 2}})), 0)
-	expectEqual(t, "answers of an unknown epoch", len(fetch(Vector{{"a", 2, 0}})), 0)
-	expectEqual(t, "answers of an unknown origin", len(fetch(Vector{{"x", 1, 0}})), 0)
+	expectEqual(t, "answers to a position ahead of the log", len(fetch(Vector{{"a", 1, 2}})), 0)
+	expectEqual(t, "answers to a position in an unknown epoch", len(fetch(Vector{{"a", 2, 0}})), 0)
+	expectEqual(t, "answers to a position of an unknown origin", len(fetch(Vector{{"x", 1, 0}})), 0)
 	expectEqual(t, "answers to an empty fetch", len(fetch(nil)), 0)
 	expectEqual(t, "counts", node.Counts(), Counts{Published: 1, Ahead: 2, Invalid: 1, Entries: 1, Bytes: node.Counts().Bytes})
 	long := make(Vector, maxFetchPositions+1)
@@ -49,11 +49,11 @@
 	}
 	out = fetch(Vector{{"a", 1, 1}})
 	if len(out) != 1 || len(out[0].Vector) != 1 || out[0].Events != nil {
-		t.Errorf("fetch of a machine that has everything: got %+v, want a position without events", out)
+		t.Errorf("fetch from the head of the log: got %+v, want a position without events", out)
 	}
 }
 
-// TestFetchTriesSourcesInTurn checks that a machine that lags fetches from one machine at a time, from the origin first, until it has
+// TestFetchTriesSourcesInTurn checks that a node that lags fetches from one machine at a time, preferably from the origin, until it has
 // the missing events.
 func TestFetchTriesSourcesInTurn(t *testing.T) {
 	a := New(testConfig("a", 1))
@@ -63,7 +63,7 @@
 	}
 	vector := Vector{{"b", 1, 2}}
 	expectEqual(t, "fetched", messageTo(t, "c", report(0, "c", vector)).Vector, Vector{{"b", 1, 0}})
-	expectEqual(t, "messages at once", len(report(0, "b", vector))+len(a.Tick(0)), 2) // its own positions to b and c
+	expectEqual(t, "messages without a further fetch", len(report(0, "b", vector))+len(a.Tick(0)), 2) // a's positions to b and c
 	var fetches []string
 	for now := compareInterval / 10; now < 7*compareInterval; now += compareInterval / 10 {
 		var out []Message
@@ -81,30 +81,30 @@
 	expectEqual(t, "fetches", fetches, want)
 	expectEqual(t, "count", a.Counts().Fetches, 4)
 
-	// Nothing is fetched from machines that became unresponsive.
+	// No fetch is sent to a machine that has become unresponsive.
 	const lastFetch = 7*compareInterval + (claimLifetimeIntervals+1)*compareInterval
 	for now := 7 * compareInterval; now < 20*compareInterval; now += compareInterval / 10 {
 		for _, message := range a.Tick(now) {
 			if message.Kind == Fetch && now > lastFetch {
-				t.Fatalf("got a fetch from unresponsive %s at %v, want none after %v", message.To, now, lastFetch)
+				t.Fatalf("got a fetch to unresponsive machine %s at %v, want none after %v", message.To, now, lastFetch)
 			}
 		}
 	}
 	expectEqual(t, "open fetches and claims", len(a.openFetches)+len(a.claims), 0)
 
-	// An origin that claims the events itself is asked first. Events that have arrived are not fetched.
+	// An origin that itself claims to have the events is asked first. Events that have arrived are not fetched again.
 	a = New(testConfig("a", 1))
 	expectEqual(t, "fetched", messageTo(t, "b", report(0, "b", vector)).Vector, Vector{{"b", 1, 0}})
 	expectEqual(t, "accepted", len(receiveEvents(a, 0, "b", testEvent("b", 1, 0, 1), testEvent("b", 1, 1, 2))), 2)
 	expectEqual(t, "fetched", len(report(3*compareInterval, "c", vector)), 0)
 }
 
-// TestFutureNumberDelaysNoFetch checks that an event with a number far in the future is a gap. It is fetched once per timeout, and
-// delays no other fetch.
-func TestFutureNumberDelaysNoFetch(t *testing.T) {
-	future := testEvent("b", 1, forgedNumber-1, forgedNumber)
+// TestForgedNumberDoesNotDelayOtherFetches checks that an event with a number far above the real ones is handled as a gap: its
+// predecessors are fetched once per timeout, and other fetches are not delayed.
+func TestForgedNumberDoesNotDelayOtherFetches(t *testing.T) {
+	forged := testEvent("b", 1, forgedNumber-1, forgedNumber)
 	a, b := New(testConfig("a", 1)), New(testConfig("b", 1))
-	out, fresh := a.Receive(0, &Message{Kind: Events, From: "b", To: "a", Events: []Event{future}})
+	out, fresh := a.Receive(0, &Message{Kind: Events, From: "b", To: "a", Events: []Event{forged}})
 	expectEqual(t, "accepted", len(fresh), 0)
 	expectEqual(t, "gaps", a.Counts().Gaps, 1)
 	expectEqual(t, "fetched", messageTo(t, "b", out).Vector, Vector{{"b", 1, 0}})
@@ -113,7 +113,7 @@
 		now += compareInterval / 10
 		sent := publish(t, b, now, fmt.Sprint("k", i))
 		a.Receive(now, messageTo(t, "a", sent))
-		expectEqual(t, "accepted", len(receiveEvents(a, now, "b", future)), 0)
+		expectEqual(t, "accepted", len(receiveEvents(a, now, "b", forged)), 0)
 		a.Receive(now, &Message{Kind: Positions, From: "b", To: "a", Vector: Vector{{"b", 1, forgedNumber}, {"b", 2, forgedNumber}}})
 
 		// Events of a third machine are still fetched.
@@ -126,10 +126,10 @@
 	}
 	expectEqual(t, "vector", a.Vector(), Vector{{"b", 1, 200}, {"c", 1, 200}})
 	if fetches := a.Counts().Fetches; fetches > 200+2*(200/(10*fetchTimeoutIntervals)+2) {
-		t.Errorf("got %d fetches, want 200 of c and few of b", fetches)
+		t.Errorf("got %d fetches, want 200 to c and few to b", fetches)
 	}
 
-	// Claims of ever new epochs are bounded too.
+	// The number of claims and open fetches is limited when ever new epochs are claimed.
 	many := New(testConfig("a", 1))
 	for i := range uint64(3000) {
 		many.Receive(0, &Message{Kind: Positions, From: "b", To: "a", Vector: Vector{{"b", 2*i + 1, 1}, {"b", 2*i + 2, 1}}})
@@ -145,9 +145,9 @@
 	expectEqual(t, "claims", len(many.claims["b"].positions), logEpochs)
 }
 
-// TestPurgeEventsOfAnHour checks that the purge events of an hour fit a log with default bounds. A control machine that begins with
-// an empty log fetches them in bounded pieces until it has all, and a director reads them from it.
-func TestPurgeEventsOfAnHour(t *testing.T) {
+// TestPurgeEventsOfOneHourFitLog checks that the purge events of an hour fit a log of the default size. A control machine that starts
+// with an empty log fetches all of them in pieces of limited size, and a director reads them from that machine.
+func TestPurgeEventsOfOneHourFitLog(t *testing.T) {
 	const count = 15480 // by docs/CAPACITY.md
 	a := New(benchConfig(0))
 	runtime.GC()
@@ -157,7 +157,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	counts := a.Counts()
-	expectEqual(t, "kept", counts.Entries, count)
+	expectEqual(t, "entries", counts.Entries, count)
 	expectEqual(t, "evicted", counts.Evicted, 0)
 	if counts.Bytes > defaultBytes/2 {
 		t.Errorf("got %d bytes counted, want at most half of %d", counts.Bytes, defaultBytes)
@@ -174,7 +174,7 @@
 		message := queue[0]
 		queue = queue[1:]
 		if raw := AppendMessage(nil, &message); len(raw) > maxAnswerPieceBytes+200 {
-			t.Fatalf("got a message of %d bytes, want at most a piece of %d and its head", len(raw), maxAnswerPieceBytes)
+			t.Fatalf("got a message of %d bytes, want at most a piece of %d and a header", len(raw), maxAnswerPieceBytes)
 		}
 		node := a
 		if message.To == "c1" {
@@ -192,8 +192,8 @@
 	}
 	expectEqual(t, "accepted", fresh, count)
 	expectEqual(t, "vector", b.Vector(), a.Vector())
-	if least := counts.Bytes / 3 / (maxAnswerPieceBytes * maxAnswerPieces); fetches < least || fetches > 4*least+2 {
-		t.Errorf("got %d fetches, want %d to %d", fetches, least, 4*least+2)
+	if minFetches := counts.Bytes / 3 / (maxAnswerPieceBytes * maxAnswerPieces); fetches < minFetches || fetches > 4*minFetches+2 {
+		t.Errorf("got %d fetches, want %d to %d", fetches, minFetches, 4*minFetches+2)
 	}
 
 	reader, cursor := NewReader(config.Origins), b.Subscribe(nil)
--- a/internal/changefeed/gap_test.go
+++ b/internal/changefeed/gap_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestSimulationFindsGapTakenAsRead injects a bug: readers and control machines accept an event across a gap, as if they had read the
-// missing events. The simulation must find the bug, and report it as skipped events.
+// TestSimulationFindsGapTakenAsRead checks that the simulation detects an injected bug: readers and control machines accept an event
+// after a gap, as if they had read the missing events. The simulation must report it as skipped events.
 func TestSimulationFindsGapTakenAsRead(t *testing.T) {
 	acceptsGaps = true
 	t.Cleanup(func() { acceptsGaps = false })
@@ -19,7 +19,7 @@
 		}
 		t.Logf("seed %d: %s", seed, sim.violations[0])
 		if !strings.Contains(sim.violations[0], "skipped") {
-			t.Errorf("got violation %q, want one of skipped events", sim.violations[0])
+			t.Errorf("got violation %q, want one that reports skipped events", sim.violations[0])
 		}
 		return
 	}
--- a/internal/changefeed/log.go
+++ b/internal/changefeed/log.go
@@ -10,7 +10,7 @@
 type logEntry struct {
 	log      *epochLog
 	number   uint64
-	arrival  uint64 // rises with each entry that the store adds
+	arrival  uint64 // sequence number of the entry in the store, across all logs
 	expires  time.Duration
 	lifetime time.Duration
 	fence    uint64
@@ -19,27 +19,27 @@
 	removed  bool // superseded, expired or evicted, but still in the list of its log or in the expiry heap
 }
 
-// entryOverheadBytes is the approximate memory of an entry without its key and payload: the entry itself and its places in the
-// list, the heap and the index.
+// entryOverheadBytes is the approximate memory of an entry without its key and payload: the entry itself and the references to it in
+// the list, the heap and the index.
 const entryOverheadBytes = 256
 
-// size returns the number of bytes that an entry counts against the bound of the store.
+// size returns the number of bytes that an entry counts towards the limit of the store.
 func (entry *logEntry) size() int { return len(entry.key) + len(entry.payload) + entryOverheadBytes }
 
-// maxRemovedSlack is the number of removed entries that a list or heap may hold in addition to as many as it has live entries.
+// maxRemovedSlack is how far the number of removed entries in a list or heap may exceed the number of live ones.
 const maxRemovedSlack = 64
 
-// epochLog is the log of one origin within one epoch. It also records how far that epoch is known.
+// epochLog is the log of one origin within one epoch. It also records the head of the epoch and the ranges of lost events.
 type epochLog struct {
 	origin string
 	epoch  uint64
-	head   uint64 // everything up to it was accepted
-	floor  uint64 // events up to it were evicted at this node, so that a subscriber below it misses some
-	// Events in (lostFrom, lostTo] were evicted at other nodes before they came to this one. Some events of that range may have
-	// come.
+	head   uint64 // all events up to this number were accepted
+	floor  uint64 // events up to this number were evicted at this node, so that a subscriber below it misses some
+	// Events in (lostFrom, lostTo] were evicted at other nodes before this node received them. This node may have received some
+	// events of that range.
 	lostFrom, lostTo uint64
-	// entries are sorted by number. The first and the last one are live. Removed entries between them are bounded by
-	// maxRemovedSlack, so that a search for what follows a position skips few.
+	// entries are sorted by number. The first and the last one are live. The number of removed entries between them is limited
+	// (see maxRemovedSlack), so that a search for the events after a position skips few.
 	entries []*logEntry
 	live    int // number of entries that are not removed
 }
@@ -71,7 +71,7 @@
 // isRemoved reports whether an entry is removed.
 func isRemoved(entry *logEntry) bool { return entry.removed }
 
-// event returns an entry as it is sent to a reader that has everything up to prev.
+// event returns an entry as it is sent to a reader that has read up to prev.
 func (log *epochLog) event(now time.Duration, entry *logEntry, prev uint64) Event {
 	return Event{
 		Origin:   log.origin,
@@ -87,13 +87,13 @@
 	}
 }
 
-// headEvent returns an event past its lifetime. It tells a reader that has everything up to prev that no live event follows up to
-// the head of the log.
+// headEvent returns an event past its lifetime, for a reader that has read up to prev. It reports that there is no live event from
+// there to the head of the log.
 func (log *epochLog) headEvent(prev uint64) Event {
 	return Event{Origin: log.origin, Epoch: log.epoch, Number: log.head, Prev: prev, LostUpTo: log.lostUpTo(prev, log.head)}
 }
 
-// lostUpTo returns the highest number in (prev, number] up to which events are lost; 0: none are.
+// lostUpTo returns the highest number in (prev, number] up to which events are lost, or 0 if none are.
 func (log *epochLog) lostUpTo(prev, number uint64) (lost uint64) {
 	if prev < log.floor {
 		lost = min(log.floor, number)
@@ -104,7 +104,7 @@
 	return lost
 }
 
-// recordLoss records that events in (from, to] were evicted at other nodes before they came to this one.
+// recordLoss records that events in (from, to] were evicted at other nodes before this node received them.
 func (log *epochLog) recordLoss(from, to uint64) {
 	if log.lostTo == 0 {
 		log.lostFrom = from
@@ -112,7 +112,7 @@
 	log.lostFrom, log.lostTo = min(log.lostFrom, from), max(log.lostTo, to)
 }
 
-// eventBatch collects events up to a number of bytes and up to MaxEvents.
+// eventBatch collects events up to a limit of bytes and up to MaxEvents.
 type eventBatch struct {
 	events    []Event
 	bytesLeft int
@@ -130,11 +130,12 @@
 	return true
 }
 
-// isFull reports whether the batch takes no further event.
+// isFull reports whether no further event can be added to the batch.
 func (b *eventBatch) isFull() bool { return b.bytesLeft <= 0 && len(b.events) > 0 }
 
 // appendAfter adds to a batch the events that follow a position, as far as they fit, and returns the position reached. If no live
-// event is left before the head, an event past its lifetime moves the position there. A position ahead of the log stays as it is.
+// event is left before the head, it adds a headEvent, which advances the position to the head. A position at or ahead of the head is
+// returned unchanged.
 func (log *epochLog) appendAfter(now time.Duration, position uint64, batch *eventBatch) (reached uint64) {
 	if position >= log.head {
 		return position
--- a/internal/changefeed/log_test.go
+++ b/internal/changefeed/log_test.go
@@ -14,7 +14,7 @@
 	expires time.Duration
 }
 
-// plainLog is a simple model of a log: all events of one origin in a plain list.
+// plainLog is a reference model of a log: it keeps all events of one origin in a list.
 type plainLog struct {
 	maxEntries int
 	events     []plainEvent // by number, from 1
@@ -22,7 +22,7 @@
 	live       []uint64 // numbers of the events that a log must keep, in ascending order
 }
 
-// add adds an event, and computes which events are live then.
+// add appends an event, and computes which events are live at that time.
 func (p *plainLog) add(now time.Duration, event plainEvent) {
 	p.events = append(p.events, event)
 	newest := map[string]bool{}
@@ -41,7 +41,7 @@
 	}
 }
 
-// isLost reports whether an event was evicted although it has neither expired nor been superseded.
+// isLost reports whether an event was evicted and has neither expired nor been superseded.
 func (p *plainLog) isLost(now time.Duration, number uint64) bool {
 	event := p.events[number-1]
 	supersedes := func(newer plainEvent) bool { return newer.key == event.key }
@@ -49,7 +49,7 @@
 	return p.evicted[number] && event.expires > now && !isSuperseded
 }
 
-// check checks the events that a log sent to a subscriber at a number.
+// check checks the events that a log sent to a subscriber that had read up to a number.
 func (p *plainLog) check(t *testing.T, now time.Duration, from uint64, sent []Event) {
 	t.Helper()
 	reached, next := from, slices.IndexFunc(p.live, func(number uint64) bool { return number > from })
@@ -82,44 +82,44 @@
 	}
 }
 
-// checkBounds checks the bounds on entries, and on removed entries in the list and the heap.
+// checkBounds checks the limits on live entries, and on removed entries in the list and the heap.
 func checkBounds(t *testing.T, node *Node) {
 	t.Helper()
 	own, heapSize := node.store.own, len(node.store.expiry)
 	if own.live > node.config.MaxEntries {
 		t.Fatalf("got %d entries, want at most %d", own.live, node.config.MaxEntries)
 	}
-	if most := 2*own.live + maxRemovedSlack; len(own.entries) > most {
-		t.Fatalf("got a list of %d, want at most %d", len(own.entries), most)
+	if limit := 2*own.live + maxRemovedSlack; len(own.entries) > limit {
+		t.Fatalf("got a list of %d entries, want at most %d", len(own.entries), limit)
 	}
-	if most := 2*node.store.entries + maxRemovedSlack; heapSize > most {
-		t.Fatalf("got a heap of %d, want at most %d", heapSize, most)
+	if limit := 2*node.store.entries + maxRemovedSlack; heapSize > limit {
+		t.Fatalf("got a heap of %d entries, want at most %d", heapSize, limit)
 	}
 }
 
-// TestLogMatchesPlainList compares a log with a plain list of all events, while random events are superseded, expire and are
-// evicted. The log sends the same events from any position. Removed entries take no more memory than live ones.
+// TestLogMatchesPlainList compares a log with a plain list of all events, while random events are superseded, expire and are evicted.
+// The log must send the same live events from any position. The number of removed entries in memory must stay within its limit.
 func TestLogMatchesPlainList(t *testing.T) {
 	for seed := range uint64(15) {
 		t.Run(fmt.Sprintf("seed=%d", seed), func(t *testing.T) {
-			chance := rand.New(rand.NewPCG(seed, 5))
+			rng := rand.New(rand.NewPCG(seed, 5))
 			config := testConfig("a", 1)
-			config.MaxEntries = 20 + chance.IntN(300)
+			config.MaxEntries = 20 + rng.IntN(300)
 			node, plain := New(config), plainLog{maxEntries: config.MaxEntries, evicted: map[uint64]bool{}}
-			now, keys := time.Duration(0), 1+chance.IntN(400)
+			now, keys := time.Duration(0), 1+rng.IntN(400)
 			for range 1000 {
-				now += time.Duration(chance.IntN(20)) * time.Millisecond
-				lifetime := time.Duration(1+chance.IntN(1<<chance.IntN(14))) * time.Millisecond
-				key := fmt.Sprint(chance.IntN(keys))
+				now += time.Duration(rng.IntN(20)) * time.Millisecond
+				lifetime := time.Duration(1+rng.IntN(1<<rng.IntN(14))) * time.Millisecond
+				key := fmt.Sprint(rng.IntN(keys))
 				if _, err := node.Publish(now, key, lifetime, nil); err != nil {
 					t.Fatal(err)
 				}
 				plain.add(now, plainEvent{key, now + lifetime})
-				if chance.IntN(5) == 0 {
+				if rng.IntN(5) == 0 {
 					node.Tick(now)
 				}
 				checkBounds(t, node)
-				from := uint64(chance.IntN(len(plain.events) + 1))
+				from := uint64(rng.IntN(len(plain.events) + 1))
 				plain.check(t, now, from, node.Next(now, node.Subscribe(Vector{{"a", 1, from}}), 1<<20))
 			}
 		})
--- a/internal/changefeed/node.go
+++ b/internal/changefeed/node.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Node is the part of one control machine: it stores the events of all origins, publishes its own, and keeps up with the other
-// control machines. Times are durations since its start, by its own monotonic clock. It is not safe for concurrent use.
+// Node is the state of the feed on one control machine. It stores the events of all origins, publishes events of its own, and fetches
+// missing events from the other control machines. Times are durations since its start, by its own monotonic clock. It is not safe
+// for concurrent use.
 type Node struct {
 	config Config
 	store  *store
-	reader *Reader       // positions in the events of others, also in epochs whose log was dropped
-	clock  time.Duration // time of the last call that passed one
+	reader *Reader       // positions in the events of others, including epochs whose log was dropped
+	clock  time.Duration // the time that was last passed to the node
 
 	nextPositions time.Duration // when the positions of this node are next sent to the others
 
 	phase         phase
 	started       time.Duration // time of the first Tick
 	reportedEpoch uint64        // highest epoch of an earlier incarnation that was reported after the node settled
-	nextRenewal   time.Duration // no further epoch is begun before
+	nextRenewal   time.Duration // no other epoch is begun before this time
 
 	claims      map[string]*claims // by control machine that is ahead
 	openFetches map[epochID]openFetch
@@ -29,14 +30,14 @@
 type Counts struct {
 	Published  int `json:"published"`  // events that this node published
 	Accepted   int `json:"taken"`      // events of others that were accepted
-	Duplicates int `json:"doubled"`    // events that had been received before
-	Gaps       int `json:"gaps"`       // events that came with others missing before them
-	Expired    int `json:"expired"`    // events that came after their lifetime, or that carried only their number
-	Superseded int `json:"superseded"` // events of an older epoch or lower fencing number that came after a newer one of their key
+	Duplicates int `json:"doubled"`    // events that were received before
+	Gaps       int `json:"gaps"`       // events that arrived with others missing before them
+	Expired    int `json:"expired"`    // events that arrived after their lifetime, or that carried only their number
+	Superseded int `json:"superseded"` // events of an older epoch or lower fencing number that arrived after a newer one of their key
 	Evicted    int `json:"evicted"`    // events that were evicted before the end of their lifetime
 	Ahead      int `json:"ahead"`      // positions of fetches and subscribers that were ahead of the log
-	Invalid    int `json:"strange"`    // events, positions and messages that are of an unknown origin or that no machine can have sent
-	Old        int `json:"old"`        // events and positions of epochs that are too far back
+	Invalid    int `json:"strange"`    // events, positions and messages that are of an unknown origin or that no correct machine sends
+	Old        int `json:"old"`        // events and positions of epochs that are too old
 	Losses     int `json:"short"`      // times that events were found to be lost
 	Fetches    int `json:"asked"`      // Fetch messages sent
 	Entries    int `json:"entries"`    // entries in the log now
@@ -63,8 +64,8 @@
 	return n
 }
 
-// Receive handles a message of another control machine. It returns the messages to send, and the newly accepted events, which must
-// be handed on. The node stores payloads without copying them, so neither the message nor the events may be changed.
+// Receive handles a message of another control machine. It returns the messages to send, and the newly accepted events, which the
+// caller must pass on. The node stores payloads without copying them, so the caller must not change the message or the events.
 func (n *Node) Receive(now time.Duration, message *Message) (out []Message, fresh []Event) {
 	if !n.isWellFormed(message) {
 		n.counts.Invalid++
@@ -85,14 +86,14 @@
 	return nil, nil
 }
 
-// isWellFormed reports whether another control machine can have sent a message to this one.
+// isWellFormed reports whether a message is from another control machine to this one, within its bounds and in order.
 func (n *Node) isWellFormed(message *Message) bool {
 	isAddressed := message.To == n.config.Name && message.From != n.config.Name && n.isOrigin(message.From)
 	isBounded := len(message.Events) <= MaxEvents && len(message.Vector) <= MaxPositions
 	return isAddressed && isBounded && slices.IsSortedFunc(message.Vector, comparePositions)
 }
 
-// Tick does what is due by now, and returns the messages to send. Call it about ten times per CompareInterval.
+// Tick performs all work that is due at the given time, and returns the messages to send. Call it about ten times per CompareInterval.
 func (n *Node) Tick(now time.Duration) (out []Message) {
 	n.clock = now
 	n.advancePhase(now)
@@ -107,7 +108,7 @@
 	return append(out, n.fetchMissing(now)...)
 }
 
-// toOthers returns a message addressed to each other control machine.
+// toOthers returns one copy of a message for each other control machine.
 func (n *Node) toOthers(message Message) (out []Message) {
 	for _, to := range n.config.Origins {
 		if to != n.config.Name {
@@ -118,7 +119,7 @@
 	return out
 }
 
-// isOrigin reports whether a control machine is configured.
+// isOrigin reports whether a name is that of a configured control machine.
 func (n *Node) isOrigin(name string) bool { return n.store.origins[name] != nil }
 
 // position returns the number that this node has reached within an epoch.
@@ -137,7 +138,7 @@
 	return ok && epoch > 0 && n.store.admits(origin, epoch) && !isOwn
 }
 
-// Vector returns how far the logs go that others may know of.
+// Vector returns the heads of the logs that are visible to others.
 func (n *Node) Vector() (vector Vector) {
 	for _, log := range n.store.sorted {
 		if log.head > 0 && n.store.isVisible(log) {
@@ -150,7 +151,7 @@
 // Counts returns the counts since the start, including those of the reader of the node.
 func (n *Node) Counts() Counts {
 	counts, read := n.counts, n.reader.counts
-	counts.Accepted = read.Accepted - counts.Superseded // the reader accepted the superseded ones, but the store did not
+	counts.Accepted = read.Accepted - counts.Superseded // the reader counted the superseded ones as accepted, but the store did not store them
 	counts.Superseded += read.Superseded
 	counts.Duplicates += read.Duplicates
 	counts.Gaps += read.Gaps
--- a/internal/changefeed/node_test.go
+++ b/internal/changefeed/node_test.go
@@ -8,8 +8,8 @@
 )
 
 // testConfig returns the configuration of one of three control machines.
-func testConfig(me string, epoch uint64) Config {
-	return Config{Name: me, Origins: []string{"c", "a", "b"}, Epoch: epoch, CompareInterval: compareInterval}
+func testConfig(name string, epoch uint64) Config {
+	return Config{Name: name, Origins: []string{"c", "a", "b"}, Epoch: epoch, CompareInterval: compareInterval}
 }
 
 // publish has a node publish an event with a lifetime of a minute, and returns the messages that carry it.
@@ -22,13 +22,13 @@
 	return out
 }
 
-// receiveEvents gives a node events that another machine sends, and returns those that the node accepts.
+// receiveEvents delivers events from another machine to a node, and returns those that the node accepts.
 func receiveEvents(node *Node, now time.Duration, from string, events ...Event) (fresh []Event) {
 	_, fresh = node.Receive(now, &Message{Kind: Events, From: from, To: node.config.Name, Events: events})
 	return fresh
 }
 
-// messageTo returns the message of a list to a machine. It fails the test unless there is exactly one.
+// messageTo returns the message to a machine from a list of messages. It fails the test unless there is exactly one.
 func messageTo(t *testing.T, name string, list []Message) *Message {
 	t.Helper()
 	var found []*Message
@@ -52,14 +52,14 @@
 }
 
 // expectEqual fails the test if two values differ.
-func expectEqual(t *testing.T, what string, got, want any) {
+func expectEqual(t *testing.T, label string, got, want any) {
 	t.Helper()
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: got %v, want %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", label, got, want)
 	}
 }
 
-// TestInvalidMessagesAreCounted gives a node messages that no machine can have sent. They are counted, and change nothing.
+// TestInvalidMessagesAreCounted checks that messages that no correct machine sends are counted as invalid, and do not change the node.
 func TestInvalidMessagesAreCounted(t *testing.T) {
 	node := New(testConfig("a", 3))
 	publish(t, node, 0, "x")
@@ -94,7 +94,7 @@
 	expectEqual(t, "fetches of own events", len(out), 0)
 }
 
-// TestSingleNode checks that a node without others sends no messages and serves its events.
+// TestSingleNode checks that the only control machine of an installation sends no messages and serves its events.
 func TestSingleNode(t *testing.T) {
 	node := New(Config{Name: "a", Origins: []string{"a"}, Epoch: 1})
 	expectEqual(t, "messages of Publish", len(publish(t, node, 0, "x")), 0)
--- a/internal/changefeed/placement.go
+++ b/internal/changefeed/placement.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Place is the location of a machine. Each level lies within the one before it.
+// Place is the location of a machine. A zone lies within a region, and a site within a zone.
 type Place struct {
 	Region, Zone, Site string
 }
@@ -31,9 +31,9 @@
 	return 0
 }
 
-// PreferenceOrder returns the names of the control machines in the order in which one director prefers them: those of its own region
-// first, and within both parts by rendezvous hash. So the directors of a lost machine spread evenly over the others, and no other
-// director has to move. Of machines with the same name only the first counts.
+// PreferenceOrder returns the names of the control machines in the order in which one director prefers them: the machines of its own
+// region first, then all others, each group ordered by rendezvous hash. So the directors of a lost machine spread evenly over the
+// others, and no other director has to move. Of machines with the same name only the first counts.
 func PreferenceOrder(director string, at Place, machines []ControlMachine) []string {
 	return rankMachines(director, machines, func(place Place) bool { return place.Region == at.Region })
 }
@@ -45,7 +45,7 @@
 	weight uint64 // rendezvous hash
 }
 
-// rankMachines returns the names of machines ordered by rendezvous hash, those at near places first.
+// rankMachines returns the names of machines ordered by rendezvous hash, those for which isNear returns true first.
 func rankMachines(director string, machines []ControlMachine, isNear func(place Place) bool) []string {
 	var ranked []rankedMachine
 	for _, machine := range machines {
@@ -56,7 +56,7 @@
 		ranked = append(ranked, rankedMachine{
 			name:   machine.Name,
 			isNear: isNear(machine.Place),
-			weight: rendezvous(director, machine.Name, 0),
+			weight: rendezvousHash(director, machine.Name, 0),
 		})
 	}
 	slices.SortFunc(ranked, compareRanks)
@@ -80,12 +80,12 @@
 
 // Constants of the mixing step after FNV-1a.
 const (
-	goldenRatio64   = 0x9e3779b97f4a7c15 // odd multiplier of Fibonacci hashing: 2^64 divided by the golden ratio
+	goldenRatio64   = 0x9e3779b97f4a7c15 // odd multiplier for Fibonacci hashing: 2^64 divided by the golden ratio
 	mixerMultiplier = 0xd6e8feb86659fd93 // odd multiplier that spreads bits well
 )
 
-// rendezvous hashes two names and a number evenly over 64 bits.
-func rendezvous(first, second string, number uint64) uint64 {
+// rendezvousHash returns a hash of two names and a number that is evenly distributed over 64 bits.
+func rendezvousHash(first, second string, number uint64) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(first))
 	hash.Write([]byte{0}) // separator
@@ -98,15 +98,15 @@
 	return sum ^ sum>>32
 }
 
-// preferences are the control machines in the order in which one director prefers them.
+// preferences holds the control machines in the order in which one director prefers them.
 type preferences struct {
 	order  []string // the best two machines, then their stand-ins
 	places map[string]Place
 }
 
-// newPreferences orders machines for one director. The best two come first: the most preferred machine, and one of the machines with
-// the greatest failure distance from it. The others stand in for these two, and are ordered by hash alone. If the region of the
-// director came first there too, one machine would take over most directors of a lost machine in its region.
+// newPreferences orders machines for one director. The best two come first: the most preferred machine, and the most preferred of the
+// machines with the greatest failure distance from it. The others are stand-ins for these two, and are ordered by hash alone. If
+// stand-ins in the director's region came first, one machine would take over most directors of a lost machine in its region.
 func newPreferences(director string, at Place, machines []ControlMachine) preferences {
 	p := preferences{places: map[string]Place{}}
 	for _, machine := range slices.Backward(machines) { // of machines with the same name the first counts
@@ -130,8 +130,8 @@
 // distance returns the FailureDistance of two machines.
 func (p *preferences) distance(a, b string) int { return FailureDistance(p.places[a], p.places[b]) }
 
-// mostDistant returns the first of the candidates with the greatest failure distance from a machine. If from is empty, it returns
-// the first candidate. If there are no candidates, it returns "".
+// mostDistant returns the candidate with the greatest failure distance from a machine, or the first of several such candidates. If
+// from is empty, it returns the first candidate. If there are no candidates, it returns "".
 func (p *preferences) mostDistant(from string, candidates []string) (best string) {
 	bestDistance := -1
 	for _, name := range candidates {
--- a/internal/changefeed/placement_test.go
+++ b/internal/changefeed/placement_test.go
@@ -10,20 +10,20 @@
 func testSite(i int) Place {
 	zones, sites := [7]int{3, 3, 3, 3, 2, 2, 2}, 0
 	zone := 0
-	for r, many := range zones {
-		for range many {
-			here := 2
+	for r, zoneCount := range zones {
+		for range zoneCount {
+			sitesOfZone := 2
 			if zone%6 == 0 {
-				here = 3
+				sitesOfZone = 3
 			}
-			if i%39 < sites+here {
+			if i%39 < sites+sitesOfZone {
 				return Place{fmt.Sprint("r", r), fmt.Sprint("z", zone), fmt.Sprint("s", i%39)}
 			}
-			sites += here
+			sites += sitesOfZone
 			zone++
 		}
 	}
-	panic("39 sites are not enough")
+	panic("the zones have fewer than 39 sites")
 }
 
 // nineMachines returns nine control machines at sites in different zones: two in each of the first two regions, one in each other.
@@ -64,16 +64,16 @@
 	}
 }
 
-// TestPreferenceOrder checks that the machines of the director's region come first, each machine once, that the first of the other
-// regions spread evenly, and that the loss of a machine leaves the order of the others as it is.
+// TestPreferenceOrder checks that each machine is listed once, those of the director's region first, that the first machines of other
+// regions are evenly distributed over the directors, and that removing a machine does not change the order of the others.
 func TestPreferenceOrder(t *testing.T) {
 	all := nineMachines()
 	firsts := map[string]int{}
 	for i := range 580 {
-		me, at := fmt.Sprint("d", i), testSite(i)
-		got := PreferenceOrder(me, at, append(all, all[0]))
+		directorName, at := fmt.Sprint("d", i), testSite(i)
+		got := PreferenceOrder(directorName, at, append(all, all[0]))
 		if len(got) != len(all) {
-			t.Fatalf("%s: got %v, want each of %d machines once", me, got, len(all))
+			t.Fatalf("%s: got %v, want each of %d machines once", directorName, got, len(all))
 		}
 		near := 0
 		for position, name := range got {
@@ -83,26 +83,26 @@
 			}
 			near++
 			if near != position+1 {
-				t.Errorf("%s at %v: got %v, want the machines of its region first", me, at, got)
+				t.Errorf("%s at %v: got %v, want the machines of its region first", directorName, at, got)
 			}
 		}
 		firsts[got[near]]++ // first of the other regions
-		without := PreferenceOrder(me, at, all[1:])
+		without := PreferenceOrder(directorName, at, all[1:])
 		if want := slices.DeleteFunc(got, func(name string) bool { return name == all[0].Name }); !slices.Equal(without, want) {
-			t.Errorf("%s without %s: got %v, want %v", me, all[0].Name, without, want)
+			t.Errorf("%s without %s: got %v, want %v", directorName, all[0].Name, without, want)
 		}
 	}
-	const least, most = 40, 95 // the mean is 64.4
+	const minCount, maxCount = 40, 95 // the mean is 64.4
 	for _, machine := range all {
-		if count := firsts[machine.Name]; count < least || count > most {
-			t.Errorf("%s is first of the other regions for %d directors, want %d to %d", machine.Name, count, least, most)
+		if count := firsts[machine.Name]; count < minCount || count > maxCount {
+			t.Errorf("%s: got %d directors for which it is first of the other regions, want %d to %d", machine.Name, count, minCount, maxCount)
 		}
 	}
 }
 
-// bestPair returns the machines that a director has links to while nothing fails.
-func bestPair(me string, at Place, all []ControlMachine) (first, second string) {
-	order, places := PreferenceOrder(me, at, all), map[string]Place{}
+// bestPair returns the machines that a director is linked to in the absence of faults.
+func bestPair(directorName string, at Place, all []ControlMachine) (first, second string) {
+	order, places := PreferenceOrder(directorName, at, all), map[string]Place{}
 	for _, machine := range all {
 		places[machine.Name] = machine.Place
 	}
--- a/internal/changefeed/publish.go
+++ b/internal/changefeed/publish.go
@@ -9,14 +9,14 @@
 
 // Errors that the errors of Publish wrap.
 var (
-	ErrKey      = errors.New("changefeed: key refused")
-	ErrPayload  = errors.New("changefeed: payload refused")
-	ErrLifetime = errors.New("changefeed: lifetime refused")
+	ErrKey      = errors.New("changefeed: invalid key")
+	ErrPayload  = errors.New("changefeed: invalid payload")
+	ErrLifetime = errors.New("changefeed: invalid lifetime")
 )
 
-// Publish adds an event of this node, which expires after its lifetime from now on. It returns the messages that carry the event to
-// all other control machines; they differ only in To. It copies the payload. It returns an error that wraps ErrKey, ErrPayload or
-// ErrLifetime if an argument is out of bounds.
+// Publish adds an event of this node, which expires when its lifetime has passed after now. It returns the messages that carry the
+// event to all other control machines, which differ only in To. It copies the payload. It returns an error that wraps ErrKey,
+// ErrPayload or ErrLifetime if an argument is out of bounds.
 func (n *Node) Publish(now time.Duration, key string, lifetime time.Duration, payload []byte) ([]Message, error) {
 	return n.PublishFenced(now, key, 0, lifetime, payload)
 }
@@ -31,7 +31,7 @@
 	n.store.expire(now)
 	n.appendOwn(now, Event{Key: key, Fence: fence, Lifetime: lifetime, Payload: slices.Clone(payload)})
 	n.counts.Published++
-	if !n.Settled() { // the others fetch the event when the node has settled and reports its positions
+	if !n.Settled() { // the others fetch the event after the node has settled and reported its positions
 		return nil, nil
 	}
 	return n.toOthers(Message{Kind: Events, Events: []Event{n.newestOwn(now)}}), nil
@@ -41,11 +41,11 @@
 func checkPublication(key string, lifetime time.Duration, payload []byte) error {
 	switch {
 	case key == "" || len(key) > MaxKeyBytes:
-		return fmt.Errorf("%w: a key of %d bytes: 1 to %d are expected", ErrKey, len(key), MaxKeyBytes)
+		return fmt.Errorf("%w: length is %d bytes, must be 1 to %d", ErrKey, len(key), MaxKeyBytes)
 	case len(payload) > MaxPayloadBytes:
-		return fmt.Errorf("%w: a payload of %d bytes: %d at most are expected", ErrPayload, len(payload), MaxPayloadBytes)
+		return fmt.Errorf("%w: length is %d bytes, must be at most %d", ErrPayload, len(payload), MaxPayloadBytes)
 	case lifetime < time.Microsecond || lifetime > MaxLifetime:
-		return fmt.Errorf("%w: a lifetime of %v: 1µs to %v are expected", ErrLifetime, lifetime, MaxLifetime)
+		return fmt.Errorf("%w: %v, must be 1µs to %v", ErrLifetime, lifetime, MaxLifetime)
 	}
 	return nil
 }
@@ -58,9 +58,9 @@
 	n.store.add(now, own, &event)
 }
 
-// newestOwn returns the last event of this node as it is sent to the others. Events between it and the entry before it were
-// superseded or have expired, so that others may accept it without them. Events up to the floor were evicted at this node. They are
-// not reported as lost, as other nodes may still have them, from which a node that lacks them must fetch.
+// newestOwn returns the last event of this node as it is sent to the others. Its Prev is the number of the entry before it: events
+// between the two were superseded or have expired, so others may accept the event without them. Events up to the floor were evicted
+// at this node. They are not reported as lost, because other nodes may still have them, and a node that lacks them can fetch them.
 func (n *Node) newestOwn(now time.Duration) Event {
 	own := n.store.own
 	last := len(own.entries) - 1
--- a/internal/changefeed/reader.go
+++ b/internal/changefeed/reader.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Verdict is what a reader decided on an event.
+// Verdict is the decision of a reader on an event.
 type Verdict uint8
 
 const (
-	// Accepted is an event that moves the position, and must be handed on.
+	// Accepted is the verdict on an event that advances the position and must be passed on.
 	Accepted Verdict = iota
-	// Duplicate is an event whose number the reader has already reached.
+	// Duplicate is the verdict on an event whose number the reader has already reached.
 	Duplicate
-	// Gap is an event before which others are missing. The reader must ask again from its position.
+	// Gap is the verdict on an event before which others are missing. The reader must request events from its position again.
 	Gap
-	// Expired is an event after its lifetime. It moves the position, and is not handed on.
+	// Expired is the verdict on an event after its lifetime. The event advances the position, but is not passed on.
 	Expired
-	// Invalid is an event of an unknown origin, or one that no origin can have published.
+	// Invalid is the verdict on an event of an unknown origin, or one that no origin can have published.
 	Invalid
-	// Old is an event of an epoch that is too far back. It may have been accepted before.
+	// Old is the verdict on an event of an epoch that is too old. The event may have been accepted before.
 	Old
-	// Superseded is an event with a lower fencing number than an earlier event of its key. It moves the position, and is not
-	// handed on.
+	// Superseded is the verdict on an event with a lower fencing number than an earlier event of its key. The event advances the
+	// position, but is not passed on.
 	Superseded
 )
 
@@ -33,8 +33,8 @@
 	return "unknown"
 }
 
-// movesPosition reports whether an event with the verdict moves the position of the reader.
-func (v Verdict) movesPosition() bool { return v == Accepted || v == Expired || v == Superseded }
+// advancesPosition reports whether an event with this verdict advances the position of the reader.
+func (v Verdict) advancesPosition() bool { return v == Accepted || v == Expired || v == Superseded }
 
 // ReaderCounts counts events by verdict since the start of a reader. The JSON keys are part of the JSON output.
 type ReaderCounts struct {
@@ -44,11 +44,11 @@
 	Expired    int `json:"expired"`
 	Invalid    int `json:"strange"`
 	Old        int `json:"old"`
-	Losses     int `json:"short"` // times that events were found to be lost for good
+	Losses     int `json:"short"` // events whose LostUpTo was ahead of the reader, which reports events as lost for good
 	Superseded int `json:"superseded"`
 }
 
-// count counts one event with a verdict.
+// count increments the counter of a verdict.
 func (c *ReaderCounts) count(verdict Verdict) {
 	switch verdict {
 	case Accepted:
@@ -68,13 +68,13 @@
 	}
 }
 
-// maxFences is the number of keys of which a reader knows the highest fencing number. Only keys under which lease holders publish
-// have fencing numbers. After a key is forgotten, an event of an earlier holder may be accepted after one of a later holder.
+// maxFences is the maximum number of keys for which a reader stores the highest fencing number. Only keys under which lease holders
+// publish have fencing numbers. After a key is discarded, an event of an earlier holder may be accepted after one of a later holder.
 const maxFences = 1024
 
-// Reader follows the events of all origins. Within an origin and epoch it accepts events in order, and none twice. Between epochs
-// of an origin there is no order: a reader that resumes at a control machine that lags may accept an event of an older epoch after
-// one of a newer epoch and the same key. Where that matters, the payload must tell which is newer.
+// Reader tracks positions in the events of all origins. Within an origin and epoch it accepts events in order, and none twice. Events
+// of different epochs are not ordered: a reader that resumes at a control machine that lags may accept an event of an older epoch
+// after one of a newer epoch with the same key. Where that matters, the payload must show which event is newer.
 type Reader struct {
 	origins    map[string]bool
 	ledger     ledger
@@ -83,16 +83,16 @@
 	counts     ReaderCounts
 }
 
-// NewReader returns a reader of these origins that has read nothing.
+// NewReader returns a reader that follows the given origins and has read no events.
 func NewReader(origins []string) *Reader {
 	r := &Reader{ledger: ledger{}, fences: map[string]uint64{}}
 	r.SetOrigins(origins)
 	return r
 }
 
-// SetOrigins has the reader follow these origins from now on, but only the first MaxOrigins of them. The reader remembers its
-// positions in the events of removed origins, in case they are listed again. Together with the followed origins it remembers at
-// most MaxOrigins, and forgets the first removed ones by name.
+// SetOrigins replaces the origins that the reader follows. Only the first MaxOrigins of the list count. The reader keeps its
+// positions in the events of removed origins, in case they are listed again, but followed and removed origins together are limited
+// to MaxOrigins. Above that it discards removed origins in the order of their names.
 func (r *Reader) SetOrigins(origins []string) {
 	r.origins = map[string]bool{}
 	for _, name := range origins[:min(len(origins), MaxOrigins)] {
@@ -111,14 +111,15 @@
 	}
 }
 
-// Accept decides on an event that arrived, and moves the position as the verdict says. Only an Accepted event must be handed on.
+// Accept decides on an event that has arrived, and advances the position if the verdict requires it. Only an event with the verdict
+// Accepted may be passed on.
 func (r *Reader) Accept(event *Event) Verdict {
 	verdict := r.decide(event)
 	r.counts.count(verdict)
 	return verdict
 }
 
-// decide decides on an event and moves the position.
+// decide returns the verdict on an event and advances the position.
 func (r *Reader) decide(event *Event) Verdict {
 	if !r.origins[event.Origin] || !event.isValid() {
 		return Invalid
@@ -145,8 +146,8 @@
 	return Accepted
 }
 
-// acceptFence reports whether no higher fencing number of a key is known, and if so records the number. It forgets the key that was
-// added first when there are too many.
+// acceptFence reports whether a fencing number is at least the highest known one of its key, and if so records it. When there are
+// too many keys, it discards the one that was added first.
 func (r *Reader) acceptFence(key string, fence uint64) bool {
 	highest, known := r.fences[key]
 	if fence < highest {
--- a/internal/changefeed/reader_test.go
+++ b/internal/changefeed/reader_test.go
@@ -12,7 +12,7 @@
 	return Event{Origin: origin, Epoch: epoch, Number: number, Prev: prev, Key: fmt.Sprint("k", number), Lifetime: time.Minute}
 }
 
-// with returns a changed copy of an event.
+// with returns a copy of an event to which change was applied.
 func (e Event) with(change func(*Event)) *Event {
 	change(&e)
 	return &e
@@ -27,7 +27,7 @@
 		{testEvent("a", 1, 0, 1), Accepted},
 		{testEvent("a", 1, 0, 1), Duplicate},
 		{testEvent("a", 1, 2, 3), Gap},
-		{testEvent("a", 1, 0, 3), Accepted}, // 2 was superseded or expired
+		{testEvent("a", 1, 0, 3), Accepted}, // event 2 was superseded or expired at the sender
 		{testEvent("a", 1, 1, 2), Duplicate},
 		{*testEvent("a", 1, 3, 4).with(func(event *Event) { event.Age = event.Lifetime }), Expired},
 		{*testEvent("a", 1, 4, 9).with(func(event *Event) { event.Lifetime = 0 }), Expired},
@@ -37,7 +37,7 @@
 		{testEvent("b", 1, 1, 2), Gap},
 		{testEvent("b", 1, 0, 2), Accepted},
 		{*testEvent("b", 1, 2, 9).with(func(event *Event) { event.LostUpTo = 5 }), Accepted},
-		{*testEvent("b", 1, 2, 12).with(func(event *Event) { event.LostUpTo = 8 }), Accepted}, // the reader is past the loss
+		{*testEvent("b", 1, 2, 12).with(func(event *Event) { event.LostUpTo = 8 }), Accepted}, // the reader has passed the lost events
 		{testEvent("c", 1, 0, 1), Invalid},
 		{testEvent("a", 0, 0, 1), Invalid},
 		{testEvent("a", 4, 0, 0), Invalid},
@@ -58,8 +58,8 @@
 	expectEqual(t, "counts", reader.Counts(), ReaderCounts{Accepted: 8, Duplicates: 2, Gaps: 2, Expired: 2, Invalid: 11, Losses: 1})
 }
 
-// TestReaderBoundsEpochs gives a reader events of more epochs than it knows positions of. It forgets the oldest epoch, and refuses
-// events of that and older ones.
+// TestReaderBoundsEpochs passes a reader events of more than readerEpochs epochs. The reader must discard the position in the oldest
+// epoch, and refuse events of that epoch and of older ones.
 func TestReaderBoundsEpochs(t *testing.T) {
 	reader := NewReader([]string{"a"})
 	for i := range uint64(readerEpochs) {
@@ -73,11 +73,11 @@
 		want  Verdict
 	}{
 		{9, Old},        // below the oldest known epoch
-		{11, Accepted},  // epoch 10 is forgotten
-		{10, Old},       // it must not be accepted a second time
+		{11, Accepted},  // discards epoch 10
+		{10, Old},       // discarded, must not be accepted a second time
 		{11, Duplicate}, // still known
 		{12, Duplicate},
-		{1000, Accepted}, // epoch 11 is forgotten
+		{1000, Accepted}, // discards epoch 11
 		{11, Old},
 		{12, Duplicate},
 	} {
@@ -90,7 +90,7 @@
 	expectEqual(t, "old events", reader.Counts().Old, 3)
 }
 
-// TestReaderSetOrigins changes the list of origins. Positions of removed origins are remembered, up to MaxOrigins in all.
+// TestReaderSetOrigins checks that positions in the events of removed origins are kept, up to a total of MaxOrigins origins.
 func TestReaderSetOrigins(t *testing.T) {
 	reader := NewReader([]string{"a", "b"})
 	accept := func(origin string, prev, number uint64) Verdict {
@@ -105,7 +105,7 @@
 	expectEqual(t, "vector", reader.Vector(), Vector{{"b", 1, 4}})
 
 	reader.SetOrigins([]string{"a", "b"})
-	expectEqual(t, "known event of an origin that is listed again", accept("a", 0, 4), Duplicate)
+	expectEqual(t, "accepted event of an origin that is listed again", accept("a", 0, 4), Duplicate)
 
 	var many []string
 	for i := range MaxOrigins - 1 {
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestReaderFences has several origins publish under one key. An event of an earlier lease holder is discarded once one of a later
-// holder was accepted, but it moves the position. The number of keys with a known fencing number is bounded.
+// TestReaderFences checks events of several origins under one key. An event of an earlier lease holder is discarded once one of a
+// later holder was accepted, but it advances the position. The number of keys with a stored fencing number is limited.
 func TestReaderFences(t *testing.T) {
 	reader := NewReader([]string{"a", "b"})
 	acceptNext := func(origin string, fence uint64, key string) Verdict {
@@ -160,7 +160,7 @@
 			t.Fatalf("key %d: got %v, want %v", i, got, Accepted)
 		}
 	}
-	expectEqual(t, "known fencing numbers", len(reader.fences), maxFences)
-	expectEqual(t, "keys in order", len(reader.fencedKeys), maxFences)
-	expectEqual(t, "lower fencing number of a forgotten key", acceptNext("a", 1, "k"), Accepted)
+	expectEqual(t, "stored fencing numbers", len(reader.fences), maxFences)
+	expectEqual(t, "fenced keys", len(reader.fencedKeys), maxFences)
+	expectEqual(t, "lower fencing number of a discarded key", acceptNext("a", 1, "k"), Accepted)
 }
--- a/internal/changefeed/review.go
+++ b/internal/changefeed/review.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// reviewLinks improves the links in steps. Each step moves one link to a better machine, or the subscription to the better link. It
-// waits until both kept links have been up for TakeoverAfter. A better machine is linked before a worse one is dropped.
+// reviewLinks improves the links in steps. A step moves one link to a more preferred machine, or the subscription to the preferred
+// link. No step is made until both kept links have been up for TakeoverAfter. The link to the new machine is established before the
+// link to the old one is dropped.
 func (s *LinkSelector) reviewLinks(now time.Duration) {
 	areStable := s.isStable(now, 0) && s.isStable(now, 1)
 	if !areStable || now < s.noMovesBefore {
@@ -30,9 +31,9 @@
 	}
 }
 
-// preferredPair returns the two machines that should have the kept links. These are the best two of all if both are candidates.
-// Otherwise the first is the best one if it is a candidate, or else the active one, so that no subscription moves to a stand-in.
-// The second is then the candidate with the greatest failure distance from the first; at equal distances a linked machine comes
+// preferredPair returns the two machines that should have the kept links. If the best two of all machines are candidates, it returns
+// these. Otherwise first is the best machine if that is a candidate, or else the active one, so that no subscription moves to a
+// stand-in. Then second is the candidate with the greatest failure distance from first; at equal distances a linked machine comes
 // before one that is not linked. Both are "" if there are fewer than two candidates.
 func (s *LinkSelector) preferredPair(now time.Duration) (first, second string) {
 	candidates := s.candidates(now)
@@ -51,7 +52,7 @@
 	return first, s.preferences.mostDistant(first, others)
 }
 
-// candidates returns the linked machines and then those that may be tried, both in the order of preference.
+// candidates returns the linked machines, followed by those that may be tried now, both in the order of preference.
 func (s *LinkSelector) candidates(now time.Duration) []string {
 	var linked, triable []string
 	for _, name := range s.preferences.order {
@@ -70,13 +71,13 @@
 	return slices.ContainsFunc(s.slots[:keptSlots], func(slot linkSlot) bool { return slot.name == name })
 }
 
-// startTrial dials a better machine on the trial slot.
+// startTrial dials a more preferred machine on the trial slot.
 func (s *LinkSelector) startTrial(now time.Duration, name string) {
 	s.emit(Dial, name)
 	s.setState(now, trialSlot, Dialling, name, 0)
 }
 
-// abandonTrial ends the dial of a better machine if a kept link is not up, as the kept links have priority.
+// abandonTrial ends the dial on the trial slot if a kept link is not up, because the kept links have priority.
 func (s *LinkSelector) abandonTrial(now time.Duration) {
 	if s.slots[trialSlot].state == Dialling && !s.areKeptLinked() {
 		s.endTrial(now)
@@ -89,8 +90,8 @@
 	s.setState(now, trialSlot, Vacant, "", 0)
 }
 
-// concludeTrial ends a trial once its link has been up for TakeoverAfter. The machine on trial replaces a kept one, unless better
-// machines have become available since.
+// concludeTrial ends a trial once its link has been up for TakeoverAfter. The machine on trial replaces a kept one, unless it is no
+// longer in the preferred pair because better machines have become available.
 func (s *LinkSelector) concludeTrial(now time.Duration, first, second string) {
 	if !s.isStable(now, trialSlot) {
 		return
@@ -103,8 +104,8 @@
 	s.replaceKept(now, first, second)
 }
 
-// moveSubscription moves the subscription to the other kept link. The former machine writes to its subscriber until the connection
-// ends, so the former link is dropped, and its slot is dialled anew.
+// moveSubscription moves the subscription to the other kept link. The former machine goes on writing to its subscriber until the
+// connection ends. So the former link is dropped, and its slot is filled by a new dial.
 func (s *LinkSelector) moveSubscription(now time.Duration, to string) {
 	former := s.active
 	s.activate(to)
@@ -127,9 +128,9 @@
 	s.counts.Moves++
 }
 
-// slotToReplace returns the kept slot whose machine is not in the preferred pair. If neither machine is, the one with the greater
-// failure distance from the machine on trial stays, so that the two never share a failure domain without need. At equal distances
-// the more preferred one stays.
+// slotToReplace returns the kept slot whose machine is not in the preferred pair. If neither machine is in the pair, the one with the
+// greater failure distance from the machine on trial stays, so that the two links do not share a failure domain unnecessarily. At
+// equal distances the more preferred machine stays.
 func (s *LinkSelector) slotToReplace(first, second string) int {
 	isPreferred := func(i int) bool { return s.slots[i].name == first || s.slots[i].name == second }
 	switch {
--- a/internal/changefeed/selector.go
+++ b/internal/changefeed/selector.go
@@ -11,15 +11,15 @@
 type ActionKind uint8
 
 const (
-	// Dial begins to dial a machine. The caller must report the result with LinkUp or DialFailed.
+	// Dial starts a dial to a machine. The caller must report the result with LinkUp or DialFailed.
 	Dial ActionKind = iota
-	// Drop ends a link or a dial. The caller must not report the end.
+	// Drop ends a link or a dial. The caller must not report that end to the selector.
 	Drop
-	// Activate subscribes on a link, and ends the former subscription.
+	// Activate starts the subscription on a link, and ends the one on the formerly active link.
 	Activate
 )
 
-// Action is an instruction to the caller. Actions must be carried out in the order of their list.
+// Action is an instruction to the caller. The actions of a list must be carried out in order.
 type Action struct {
 	Kind ActionKind
 	Name string // name of the machine
@@ -31,7 +31,7 @@
 const (
 	// Vacant means no link and no dial.
 	Vacant LinkState = iota
-	// Dialling means a dial whose result is not known yet.
+	// Dialling means a dial without a result so far.
 	Dialling
 	// Linked means a link that is up.
 	Linked
@@ -40,34 +40,35 @@
 // Never is a time that is never reached.
 const Never = time.Duration(math.MaxInt64)
 
-// A selector has slots 0 and 1 for the links that it keeps, and one slot to try a better machine in while both are up.
+// A selector has slots 0 and 1 for the kept links, and one more slot for a trial link to a more preferred machine while both kept
+// links are up.
 const (
 	keptSlots = 2
-	trialSlot = keptSlots // index of the slot
+	trialSlot = keptSlots // index of the slot for the trial link
 )
 
-// linkSlot is one place for a link.
+// linkSlot holds at most one link or dial.
 type linkSlot struct {
 	state LinkState
 	name  string        // name of the machine; "" while vacant
 	since time.Duration // when the state began
-	due   time.Duration // when a vacant slot may be filled
+	due   time.Duration // earliest time at which a vacant slot may be filled
 }
 
 // LinkSelector decides which control machines a director has links to: two machines with a failure distance as great as possible,
-// one of them active. It is a state machine: it is given the results of dials, the loss of links and the time, and returns the
-// actions to carry out. At most three machines are dialled or linked at once, the third one only while the two others are up. It is
-// not safe for concurrent use.
+// one of them active. It is a state machine: its inputs are the results of dials, losses of links and the time, and its outputs are
+// the actions to carry out. At most three machines are dialled or linked at the same time, the third one only while the two others
+// are up. It is not safe for concurrent use.
 type LinkSelector struct {
 	config        SelectorConfig
 	preferences   preferences
 	records       map[string]*machineRecord // by listed machine
 	slots         [keptSlots + 1]linkSlot
-	active        string        // machine of the subscription; "": no link is up
+	active        string        // machine that the director subscribes at; "" while no link is up
 	draws         uint64        // number of random numbers drawn
-	noMovesBefore time.Duration // no link is moved before
-	unlinkedSince time.Duration // since when no link has been up; Never: one is up
-	actions       []Action      // actions that the present call returns
+	noMovesBefore time.Duration // no link is moved before this time
+	unlinkedSince time.Duration // when the last link went down; Never while a link is up
+	actions       []Action      // actions that the present call will return
 	counts        SelectorCounts
 }
 
@@ -75,11 +76,11 @@
 type SelectorCounts struct {
 	Failed    int `json:"failed"`    // dials that failed
 	Lost      int `json:"lost"`      // links that broke
-	Failovers int `json:"failovers"` // times that another link took over after the active one broke
+	Failovers int `json:"failovers"` // active links that broke and were replaced by another link
 	Moves     int `json:"moves"`     // links dropped for better ones
 }
 
-// NewLinkSelector returns a selector that starts now. Its first Tick returns the first dials.
+// NewLinkSelector returns a selector that starts at the given time. Its first Tick returns the first dials.
 func NewLinkSelector(config SelectorConfig, machines []ControlMachine, now time.Duration) *LinkSelector {
 	s := &LinkSelector{config: config.withDefaults(), records: map[string]*machineRecord{}, unlinkedSince: now}
 	for i := range s.slots {
@@ -91,7 +92,7 @@
 }
 
 // SetMachines replaces the list of control machines. It drops links to machines that are no longer listed. No link moves to a new
-// machine before TrialDelay, which guards it against links of all directors at once.
+// machine before TrialDelay has passed, so that not all directors connect to it at the same moment.
 func (s *LinkSelector) SetMachines(now time.Duration, machines []ControlMachine) []Action {
 	former := maps.Clone(s.records)
 	s.preferences = newPreferences(s.config.Name, s.config.Place, machines)
@@ -128,12 +129,12 @@
 	return s.reconcile(now)
 }
 
-// LinkLost reports that a link that was up broke, or was unresponsive for too long.
+// LinkLost reports that an established link broke, or was unresponsive for too long.
 func (s *LinkSelector) LinkLost(now time.Duration, name string) []Action {
 	if i := s.slotOf(name, Linked); i >= 0 {
 		s.counts.Lost++
 		if now-s.slots[i].since >= s.config.SteadyAfter {
-			s.records[name].faultsInRow = 0
+			s.records[name].consecutiveFaults = 0
 		}
 		s.recordFault(now, name)
 		wasActive := s.active == name
@@ -145,16 +146,16 @@
 	return s.reconcile(now)
 }
 
-// Tick reports the time. It is due at NextTick, and may be called at any time.
+// Tick informs the selector of the time. It is due at NextTick, and may be called at any other time as well.
 func (s *LinkSelector) Tick(now time.Duration) []Action { return s.reconcile(now) }
 
-// Active returns the machine of the subscription; "" while no link is up.
+// Active returns the machine that the director subscribes at, or "" while no link is up.
 func (s *LinkSelector) Active() string { return s.active }
 
 // Counts returns the counts since the start of the selector.
 func (s *LinkSelector) Counts() SelectorCounts { return s.counts }
 
-// UnlinkedFor returns for how long no link has been up; 0: one is up.
+// UnlinkedFor returns how long no link has been up, or 0 while one is up.
 func (s *LinkSelector) UnlinkedFor(now time.Duration) time.Duration {
 	if s.unlinkedSince == Never {
 		return 0
@@ -176,8 +177,8 @@
 // Names returns the names of all listed machines, the most preferred first.
 func (s *LinkSelector) Names() []string { return slices.Clone(s.preferences.order) }
 
-// setState changes the state of a slot. Only promoteTrial, which moves a link between slots, changes it otherwise. A slot that
-// becomes vacant is not filled before delay has passed.
+// setState changes the state of a slot. The only other function that does so is promoteTrial, which moves a link between slots. A
+// slot that becomes vacant is not filled before delay has passed.
 func (s *LinkSelector) setState(now time.Duration, i int, to LinkState, name string, delay time.Duration) {
 	if to == Vacant && s.slots[i].name == s.active {
 		s.active = ""
@@ -195,13 +196,13 @@
 	}
 }
 
-// activate moves the subscription to a link that is up.
+// activate moves the subscription to an established link.
 func (s *LinkSelector) activate(name string) {
 	s.active = name
 	s.emit(Activate, name)
 }
 
-// emit adds an action to those that the present call returns.
+// emit adds an action to those that the present call will return.
 func (s *LinkSelector) emit(kind ActionKind, name string) {
 	s.actions = append(s.actions, Action{kind, name})
 }
@@ -217,7 +218,7 @@
 	return s.isLinked(i) && now-s.slots[i].since >= s.config.TakeoverAfter
 }
 
-// slotOf returns the index of the slot that has a machine in a state; -1: there is none.
+// slotOf returns the index of the slot that holds a machine in a state, or -1 if there is none.
 func (s *LinkSelector) slotOf(name string, state LinkState) int {
 	return slices.IndexFunc(s.slots[:], func(slot linkSlot) bool { return slot.state == state && slot.name == name })
 }
@@ -227,7 +228,7 @@
 	return slices.ContainsFunc(s.slots[:], func(slot linkSlot) bool { return slot.state != Vacant && slot.name == name })
 }
 
-// reconcile does what is due after any input, and returns all actions of the call.
+// reconcile performs all steps that are due after an input, and returns all actions of the call.
 func (s *LinkSelector) reconcile(now time.Duration) []Action {
 	s.promoteLinkedTrial()
 	s.electActive()
@@ -239,7 +240,7 @@
 	return actions
 }
 
-// promoteLinkedTrial gives the link on trial, if it is up, the place of a kept link that broke. So no machine has to be dialled.
+// promoteLinkedTrial moves an established trial link to a vacant kept slot, so that no machine has to be dialled for that slot.
 func (s *LinkSelector) promoteLinkedTrial() {
 	if !s.isLinked(trialSlot) {
 		return
@@ -250,7 +251,7 @@
 	}
 }
 
-// electActive makes the most preferred link that is up the active one, if there is no active one. It reports whether it did.
+// electActive activates the most preferred established link if no link is active. It reports whether it activated one.
 func (s *LinkSelector) electActive() bool {
 	if s.active != "" {
 		return false
@@ -278,8 +279,8 @@
 	}
 }
 
-// chooseForSlot returns the machine to dial for a vacant slot; "": there is none. otherKept is the machine of the other kept slot;
-// "": that slot is vacant.
+// chooseForSlot returns the machine to dial for a vacant slot, or "" if there is none. otherKept is the machine of the other kept
+// slot, or "" if that slot is vacant.
 func (s *LinkSelector) chooseForSlot(now time.Duration, otherKept string) string {
 	var candidates []string
 	for _, name := range s.preferences.order {
@@ -290,7 +291,7 @@
 	return s.preferences.mostDistant(otherKept, candidates)
 }
 
-// NextTick returns when Tick is due if there is no other input before; Never: only another input can change anything.
+// NextTick returns when Tick is due if there is no other input before, or Never if the passing of time alone changes nothing.
 func (s *LinkSelector) NextTick(now time.Duration) time.Duration {
 	next := Never
 	addTime := func(t time.Duration) {
--- a/internal/changefeed/selector_loss_test.go
+++ b/internal/changefeed/selector_loss_test.go
@@ -10,28 +10,30 @@
 
 // linkLoad counts links and subscriptions by control machine.
 type linkLoad struct {
-	links, actives map[string]int
+	links, subscriptions map[string]int
 }
 
-// newLinkLoad returns a load without links.
-func newLinkLoad() linkLoad { return linkLoad{links: map[string]int{}, actives: map[string]int{}} }
+// newLinkLoad returns an empty load.
+func newLinkLoad() linkLoad {
+	return linkLoad{links: map[string]int{}, subscriptions: map[string]int{}}
+}
 
-// add counts the links and the subscription of a director.
+// add adds the links and the subscription of a director.
 func (load *linkLoad) add(selector *selectorTest) {
 	for name, state := range selector.links {
 		if state == Linked {
 			load.links[name]++
 		}
 	}
-	load.actives[selector.active]++
+	load.subscriptions[selector.active]++
 }
 
 // largest returns the largest count of a map.
-func largest[K comparable](counts map[K]int) (most int) {
+func largest[K comparable](counts map[K]int) (maximum int) {
 	for _, count := range counts {
-		most = max(most, count)
+		maximum = max(maximum, count)
 	}
-	return most
+	return maximum
 }
 
 // total returns the sum of all counts of a map.
@@ -42,23 +44,23 @@
 	return sum
 }
 
-// machinePair is the best two machines of a director.
+// machinePair holds the best two machines of a director.
 type machinePair struct{ first, second string }
 
-// lossTest is an installation of directors on nine control machines. It knows their links while nothing fails.
+// lossTest is an installation of directors and nine control machines, with the links of the directors in the absence of faults.
 type lossTest struct {
 	machines []ControlMachine
 	best     []machinePair // by director
-	before   linkLoad      // while nothing fails
+	before   linkLoad      // load in the absence of faults
 }
 
 const (
-	lossDirectors  = 580 // in each test of many selectors
+	lossDirectors  = 580 // directors in each test with many selectors
 	lossDialSpread = 800 * time.Millisecond
-	lossSetsOfSize = 12 // sets of more than one lost machine that are tried
+	lossSetsOfSize = 12 // number of random sets for each size above one machine
 )
 
-// runDirector runs the selector of a director until a time.
+// runDirector runs a new selector of a director until a time, and returns it.
 func (test *lossTest) runDirector(t *testing.T, director int, until time.Duration, outages []outage) *selectorTest {
 	t.Helper()
 	selector := newSelectorTest(t, fmt.Sprint("d", director), testSite(director), uint64(director), lossDialSpread, test.machines)
@@ -66,8 +68,8 @@
 	return selector
 }
 
-// newLossTest returns a loss test. It checks that each director has links to its best two machines, and that these links spread
-// evenly over the machines.
+// newLossTest returns a loss test. It checks that each director has links to its best two machines, and that these links are evenly
+// distributed over the machines.
 func newLossTest(t *testing.T) *lossTest {
 	t.Helper()
 	test := &lossTest{machines: nineMachines(), before: newLinkLoad()}
@@ -82,19 +84,19 @@
 	}
 	meanLinks := 2 * float64(lossDirectors) / float64(len(test.machines))
 	meanActives := float64(lossDirectors) / float64(len(test.machines))
-	mostLinks, mostActives := largest(test.before.links), largest(test.before.actives)
-	t.Logf("none lost: links at most %d, mean %.1f; subscriptions at most %d, mean %.1f", mostLinks, meanLinks, mostActives, meanActives)
+	maxLinks, maxActives := largest(test.before.links), largest(test.before.subscriptions)
+	t.Logf("0 lost: links at most %d, mean %.1f; subscriptions at most %d, mean %.1f", maxLinks, meanLinks, maxActives, meanActives)
 	if len(test.before.links) != len(test.machines) {
 		t.Errorf("got links to %d machines, want to all %d", len(test.before.links), len(test.machines))
 	}
-	if float64(mostLinks) > 1.4*meanLinks || float64(mostActives) > 1.8*meanActives {
+	if float64(maxLinks) > 1.4*meanLinks || float64(maxActives) > 1.8*meanActives {
 		t.Errorf("got at most %d links and %d subscriptions of one machine, want at most 1.4 times %.1f and 1.8 times %.1f",
-			mostLinks, mostActives, meanLinks, meanActives)
+			maxLinks, maxActives, meanLinks, meanActives)
 	}
 	return test
 }
 
-// lossSets returns the sets of a number of machines to lose: all sets of one machine, or lossSetsOfSize random sets of more.
+// lossSets returns sets of machines to remove: all sets of one machine, or lossSetsOfSize random sets of several machines.
 func (test *lossTest) lossSets(size int) (sets [][]string) {
 	for bits := range 1 << len(test.machines) {
 		var set []string
@@ -114,9 +116,9 @@
 	return sets
 }
 
-// lose returns the load after a set of machines is lost. It checks that each director has two links, and that no director moves
-// without need.
-func (test *lossTest) lose(t *testing.T, set []string) linkLoad {
+// loadAfterLoss returns the load after a set of machines is lost. It checks that each director has two links, and that no director
+// moves unless it has lost a link.
+func (test *lossTest) loadAfterLoss(t *testing.T, set []string) linkLoad {
 	t.Helper()
 	var outages []outage
 	for i, name := range set {
@@ -129,8 +131,8 @@
 		if selector.linked() != 2 {
 			t.Fatalf("without %v: d%d: got links %v, want two", set, i, selector.links)
 		}
-		if !lostFirst && !lostSecond && len(selector.dials) > 2 {
-			t.Fatalf("without %v: d%d: got %d dials, want two, as it lost no link", set, i, len(selector.dials))
+		if !lostFirst && !lostSecond && len(selector.dialTimes) > 2 {
+			t.Fatalf("without %v: d%d: got %d dials, want two, as it lost no link", set, i, len(selector.dialTimes))
 		}
 		if !lostFirst && selector.active != best.first {
 			t.Fatalf("without %v: d%d: got a subscription at %s, want it at the best machine of %v", set, i, selector.active, best)
@@ -143,39 +145,40 @@
 	return after
 }
 
-// gain returns the most links that one machine takes over after a set is lost, as a multiple of the mean over the remaining
-// machines.
-func (test *lossTest) gain(set []string, after linkLoad) float64 {
-	lost, gain := 0, 0
+// maxTakeover returns the largest number of lost links that one machine takes over after a set is lost, as a multiple of the mean over
+// the remaining machines.
+func (test *lossTest) maxTakeover(set []string, after linkLoad) float64 {
+	lost, takeover := 0, 0
 	for _, name := range set {
 		lost += test.before.links[name]
 	}
 	for name, count := range after.links {
-		gain = max(gain, count-test.before.links[name])
+		takeover = max(takeover, count-test.before.links[name])
 	}
-	return float64(gain) / (float64(lost) / float64(len(test.machines)-len(set)))
+	return float64(takeover) / (float64(lost) / float64(len(test.machines)-len(set)))
 }
 
-// TestLossSpreads loses up to four of nine control machines. Soon after DialSpread all directors have two links again, no director
-// whose links are up has moved, and the links of the lost machines spread evenly over all others.
-func TestLossSpreads(t *testing.T) {
+// TestLostLinksSpreadOverRemainingMachines removes up to four of nine control machines. Soon after DialSpread all directors must have
+// two links again, no director that lost no link may have moved, and the links of the lost machines must be evenly distributed over
+// the others.
+func TestLostLinksSpreadOverRemainingMachines(t *testing.T) {
 	test := newLossTest(t)
 	for _, size := range []int{1, 3, 4} {
 		sets := test.lossSets(size)
-		mostLinks, mostActives, sumLinks, sumActives, mostGain, remaining := 0, 0, 0, 0, 0.0, 0
+		maxLinks, maxActives, sumLinks, sumActives, maxGain, remaining := 0, 0, 0, 0, 0.0, 0
 		for _, set := range sets {
-			after := test.lose(t, set)
-			mostLinks, mostActives = max(mostLinks, largest(after.links)), max(mostActives, largest(after.actives))
-			sumLinks, sumActives = sumLinks+total(after.links), sumActives+total(after.actives)
-			mostGain = max(mostGain, test.gain(set, after))
+			after := test.loadAfterLoss(t, set)
+			maxLinks, maxActives = max(maxLinks, largest(after.links)), max(maxActives, largest(after.subscriptions))
+			sumLinks, sumActives = sumLinks+total(after.links), sumActives+total(after.subscriptions)
+			maxGain = max(maxGain, test.maxTakeover(set, after))
 			remaining += len(test.machines) - size
 		}
 		meanLinks, meanActives := float64(sumLinks)/float64(remaining), float64(sumActives)/float64(remaining)
-		t.Logf("%d lost, %d sets: links most %d, mean %.1f; subscriptions most %d, mean %.1f; one took over at most %.2f of the mean",
-			size, len(sets), mostLinks, meanLinks, mostActives, meanActives, mostGain)
-		if float64(mostLinks) > 1.4*meanLinks || float64(mostActives) > 1.7*meanActives || mostGain > 1.8 {
+		t.Logf("%d lost, %d sets: links at most %d, mean %.1f; subscriptions at most %d, mean %.1f; one machine took over at most %.2f times the mean",
+			size, len(sets), maxLinks, meanLinks, maxActives, meanActives, maxGain)
+		if float64(maxLinks) > 1.4*meanLinks || float64(maxActives) > 1.7*meanActives || maxGain > 1.8 {
 			t.Errorf("%d lost: got at most %d links, %d subscriptions and %.2f times the mean taken over by one machine, "+
-				"want at most 1.4 times %.1f, 1.7 times %.1f and 1.8", size, mostLinks, mostActives, mostGain, meanLinks, meanActives)
+				"want at most 1.4 times %.1f, 1.7 times %.1f and 1.8", size, maxLinks, maxActives, maxGain, meanLinks, meanActives)
 		}
 	}
 }
--- a/internal/changefeed/selector_sim_test.go
+++ b/internal/changefeed/selector_sim_test.go
@@ -11,7 +11,7 @@
 type outage struct {
 	name     string
 	from, to time.Duration
-	hangs    bool // dials fail by a timeout, not at once
+	hangs    bool // whether dials fail by a timeout instead of immediately
 }
 
 const (
@@ -19,24 +19,24 @@
 	dialTimeout  = time.Second // of a dial to a machine that hangs
 )
 
-// selectorTest runs one selector through outages, and checks it after each step.
+// selectorTest simulates the machines of one selector, with outages, and checks the selector after each step.
 type selectorTest struct {
-	t           testing.TB
-	selector    *LinkSelector
-	now         time.Duration
-	links       map[string]LinkState     // links and dials that follow from the actions
-	active      string                   // machine of the subscription that follows from the actions
-	due         map[string]time.Duration // when the result of a dial is known, by machine
-	dials       []time.Duration          // times of all dials
-	moved       []time.Duration          // times of all moves
-	unlinkedFor time.Duration            // total time without a link, after the first link
-	everLinked  bool
-}
-
-// newSelectorTest returns a test of a new selector at time 0.
-func newSelectorTest(t testing.TB, me string, at Place, seed uint64, spread time.Duration, all []ControlMachine) *selectorTest {
-	selector := &selectorTest{t: t, links: map[string]LinkState{}, due: map[string]time.Duration{}}
-	selector.selector = NewLinkSelector(SelectorConfig{Name: me, Place: at, Seed: seed, DialSpread: spread}, all, 0)
+	t            testing.TB
+	linkSelector *LinkSelector
+	now          time.Duration
+	links        map[string]LinkState     // links and dials according to the actions so far
+	active       string                   // machine of the subscription according to the actions so far
+	resultDue    map[string]time.Duration // when the result of a dial is known, by machine
+	dialTimes    []time.Duration          // times of all dials
+	moveTimes    []time.Duration          // times of all moves
+	unlinkedFor  time.Duration            // total time without a link, after the first link
+	everLinked   bool
+}
+
+// newSelectorTest returns a test with a new selector, at time 0.
+func newSelectorTest(t testing.TB, directorName string, at Place, seed uint64, spread time.Duration, all []ControlMachine) *selectorTest {
+	selector := &selectorTest{t: t, links: map[string]LinkState{}, resultDue: map[string]time.Duration{}}
+	selector.linkSelector = NewLinkSelector(SelectorConfig{Name: directorName, Place: at, Seed: seed, DialSpread: spread}, all, 0)
 	return selector
 }
 
@@ -50,7 +50,7 @@
 	return count
 }
 
-// disconnect forgets the link or dial to a machine, and the subscription there.
+// disconnect removes the link or dial to a machine, and the subscription there.
 func (selector *selectorTest) disconnect(name string) {
 	delete(selector.links, name)
 	if selector.active == name {
@@ -60,16 +60,16 @@
 
 // checkBestPair reports an error unless the director has links to exactly the best two of the listed machines, and subscribes at the
 // best one.
-func (selector *selectorTest) checkBestPair(me string, at Place, listed []ControlMachine) {
+func (selector *selectorTest) checkBestPair(directorName string, at Place, listed []ControlMachine) {
 	selector.t.Helper()
-	first, second := bestPair(me, at, listed)
+	first, second := bestPair(directorName, at, listed)
 	if selector.active != first || selector.links[second] != Linked || len(selector.links) != 2 {
-		selector.t.Errorf("%s: got links %v, active %s, want %s (active) and %s", me, selector.links, selector.active, first, second)
+		selector.t.Errorf("%s: got links %v, active %s, want %s (active) and %s", directorName, selector.links, selector.active, first, second)
 	}
 }
 
-// apply carries out actions and checks them. Only if listChanged is set may the last link be dropped, as its machine may not be
-// listed any more.
+// apply carries out actions and checks them. The last link may be dropped only if listChanged is set, because its machine may then no
+// longer be listed.
 func (selector *selectorTest) apply(actions []Action, listChanged bool) {
 	selector.t.Helper()
 	for _, action := range actions {
@@ -88,25 +88,25 @@
 	selector.checkState()
 }
 
-// applyDial carries out a Dial. The machine must be listed, unused and not backing off, and the third of three machines may be
+// applyDial carries out a Dial. The machine must be listed, neither linked nor dialled, and not backing off. A third machine may be
 // dialled only while two links are up.
 func (selector *selectorTest) applyDial(name string) {
 	selector.t.Helper()
 	_, used := selector.links[name]
-	backingOff := selector.selector.IsBackingOff(selector.now, name)
-	listed := slices.Contains(selector.selector.Names(), name)
+	backingOff := selector.linkSelector.IsBackingOff(selector.now, name)
+	listed := slices.Contains(selector.linkSelector.Names(), name)
 	if used || backingOff || !listed {
 		selector.t.Fatalf("%v: got a dial to %s (used %v, backing off %v, listed %v), want one to a free machine",
 			selector.now, name, used, backingOff, listed)
 	}
 	if len(selector.links) >= 2 && selector.linked() < 2 {
-		selector.t.Fatalf("%v: got a third dial, to %s, want none while not two links are up: %v", selector.now, name, selector.links)
+		selector.t.Fatalf("%v: got a third dial, to %s, want none until two links are up: %v", selector.now, name, selector.links)
 	}
 	selector.links[name] = Dialling
-	selector.dials = append(selector.dials, selector.now)
+	selector.dialTimes = append(selector.dialTimes, selector.now)
 }
 
-// applyDrop carries out a Drop of a link or dial that must exist.
+// applyDrop carries out a Drop. The link or dial must exist.
 func (selector *selectorTest) applyDrop(name string, listChanged bool) {
 	selector.t.Helper()
 	state, used := selector.links[name]
@@ -119,21 +119,21 @@
 	}
 }
 
-// checkState checks that the state of the selector is the one that follows from its actions.
+// checkState checks that the state of the selector agrees with its actions so far.
 func (selector *selectorTest) checkState() {
 	selector.t.Helper()
-	links, active := selector.selector.Links(), selector.selector.Active()
+	links, active := selector.linkSelector.Links(), selector.linkSelector.Active()
 	if !maps.Equal(links, selector.links) || active != selector.active {
-		selector.t.Fatalf("%v: got links %v, active %q, want by the actions %v, %q", selector.now, links, active, selector.links, selector.active)
+		selector.t.Fatalf("%v: got links %v, active %q, want %v, %q according to the actions", selector.now, links, active, selector.links, selector.active)
 	}
 	if len(links) > 3 {
 		selector.t.Fatalf("%v: got links %v, want at most 3", selector.now, links)
 	}
 	if (active == "") != (selector.linked() == 0) {
-		selector.t.Fatalf("%v: got active %q with %d links up, want an active one exactly if any is up", selector.now, active, selector.linked())
+		selector.t.Fatalf("%v: got active %q with %d links up, want an active one if and only if a link is up", selector.now, active, selector.linked())
 	}
-	wantZero := selector.linked() > 0 || selector.now == selector.selector.unlinkedSince
-	if unlinkedFor := selector.selector.UnlinkedFor(selector.now); (unlinkedFor == 0) != wantZero {
+	wantZero := selector.linked() > 0 || selector.now == selector.linkSelector.unlinkedSince
+	if unlinkedFor := selector.linkSelector.UnlinkedFor(selector.now); (unlinkedFor == 0) != wantZero {
 		selector.t.Fatalf("%v: got UnlinkedFor %v with %d links up, want 0: %v", selector.now, unlinkedFor, selector.linked(), wantZero)
 	}
 }
@@ -148,17 +148,17 @@
 	return outage{}, false
 }
 
-// run lets time pass until a time, with outages.
+// run simulates the time until a given time, with outages.
 func (selector *selectorTest) run(until time.Duration, outages []outage) {
-	selector.applyAndRecord(selector.selector.Tick(selector.now))
+	selector.applyAndRecord(selector.linkSelector.Tick(selector.now))
 	for {
 		selector.scheduleDials(outages)
-		due := selector.selector.NextTick(selector.now)
+		due := selector.linkSelector.NextTick(selector.now)
 		selector.passTime(selector.nextTime(until, due, outages), until)
 		inputs := selector.breakLinks(outages) + selector.finishDials(outages)
-		actions := selector.selector.Tick(selector.now)
+		actions := selector.linkSelector.Tick(selector.now)
 		if len(actions) > 0 && inputs == 0 && due > selector.now {
-			selector.t.Fatalf("%v: got actions %v of a tick before the next one is due at %v, want none", selector.now, actions, due)
+			selector.t.Fatalf("%v: got actions %v from a tick before the one due at %v, want none", selector.now, actions, due)
 		}
 		selector.applyAndRecord(actions)
 		if selector.now >= until {
@@ -167,22 +167,22 @@
 	}
 }
 
-// scheduleDials sets when the result of each new dial is known.
+// scheduleDials sets the time at which each new dial has its result.
 func (selector *selectorTest) scheduleDials(outages []outage) {
 	for name, state := range selector.links {
-		if _, known := selector.due[name]; state == Dialling && !known {
-			selector.due[name] = selector.now + dialDuration
+		if _, known := selector.resultDue[name]; state == Dialling && !known {
+			selector.resultDue[name] = selector.now + dialDuration
 			if current, isDown := selector.outageOf(name, outages); isDown && current.hangs {
-				selector.due[name] = selector.now + dialTimeout
+				selector.resultDue[name] = selector.now + dialTimeout
 			}
 		}
 	}
 }
 
-// nextTime returns when something happens next: a tick that is due, the result of a dial, or the begin of an outage.
+// nextTime returns the time of the next simulated event: a tick that is due, the result of a dial, or the start of an outage.
 func (selector *selectorTest) nextTime(until, due time.Duration, outages []outage) time.Duration {
 	next := min(until, due)
-	for _, at := range selector.due {
+	for _, at := range selector.resultDue {
 		next = min(next, at)
 	}
 	for _, each := range outages {
@@ -193,7 +193,7 @@
 	return next
 }
 
-// passTime moves the time to next.
+// passTime advances the time to next.
 func (selector *selectorTest) passTime(next, until time.Duration) {
 	if selector.everLinked && selector.linked() == 0 {
 		selector.unlinkedFor += next - selector.now
@@ -204,7 +204,7 @@
 	selector.now = next
 }
 
-// breakLinks breaks the links to machines that are down, and returns how many.
+// breakLinks breaks the links to machines that are down, reports them to the selector, and returns their number.
 func (selector *selectorTest) breakLinks(outages []outage) (inputs int) {
 	for _, name := range slices.Sorted(maps.Keys(selector.links)) {
 		if _, isDown := selector.outageOf(name, outages); !isDown || selector.links[name] != Linked {
@@ -212,43 +212,43 @@
 		}
 		selector.disconnect(name)
 		inputs++
-		selector.applyAndRecord(selector.selector.LinkLost(selector.now, name))
+		selector.applyAndRecord(selector.linkSelector.LinkLost(selector.now, name))
 	}
 	return inputs
 }
 
-// finishDials gives the selector the results of dials that are due, and returns how many.
+// finishDials reports the results of dials that are due to the selector, and returns their number.
 func (selector *selectorTest) finishDials(outages []outage) (inputs int) {
-	for _, name := range slices.Sorted(maps.Keys(selector.due)) {
-		if selector.due[name] > selector.now {
+	for _, name := range slices.Sorted(maps.Keys(selector.resultDue)) {
+		if selector.resultDue[name] > selector.now {
 			continue
 		}
-		delete(selector.due, name)
+		delete(selector.resultDue, name)
 		if selector.links[name] != Dialling {
 			continue
 		}
 		inputs++
 		if _, isDown := selector.outageOf(name, outages); isDown {
 			delete(selector.links, name)
-			selector.applyAndRecord(selector.selector.DialFailed(selector.now, name))
+			selector.applyAndRecord(selector.linkSelector.DialFailed(selector.now, name))
 		} else {
 			selector.everLinked = true
 			selector.links[name] = Linked
-			selector.applyAndRecord(selector.selector.LinkUp(selector.now, name))
+			selector.applyAndRecord(selector.linkSelector.LinkUp(selector.now, name))
 		}
 	}
 	return inputs
 }
 
-// applyAndRecord carries out actions, and records moves. Dials that are dropped have no result.
+// applyAndRecord carries out actions, and records the times of moves. A dial that is dropped gets no result.
 func (selector *selectorTest) applyAndRecord(actions []Action) {
 	selector.apply(actions, false)
-	for len(selector.moved) < selector.selector.Counts().Moves {
-		selector.moved = append(selector.moved, selector.now)
+	for len(selector.moveTimes) < selector.linkSelector.Counts().Moves {
+		selector.moveTimes = append(selector.moveTimes, selector.now)
 	}
 	for _, action := range actions {
 		if action.Kind == Drop {
-			delete(selector.due, action.Name)
+			delete(selector.resultDue, action.Name)
 		}
 	}
 }
--- a/internal/changefeed/selector_test.go
+++ b/internal/changefeed/selector_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestLinksMoveBackGradually checks that a machine that recovers gets its directors back over tens of seconds, a few at a time, and
-// that none of them is without a link for long.
+// TestLinksMoveBackGradually checks that the directors of a machine that recovers return to it over tens of seconds, a few at a time,
+// and that none of them is without a link for long.
 func TestLinksMoveBackGradually(t *testing.T) {
 	const (
 		maxMoves    = 4
@@ -22,71 +22,71 @@
 		{name: "c4", from: 22 * time.Second, to: 55 * time.Second, hangs: true},
 	}
 	perSecond := map[time.Duration]int{}
-	moved, times := 0, 0
+	moved, moves := 0, 0
 	for i := range lossDirectors {
-		me := fmt.Sprint("d", i)
-		selector := newSelectorTest(t, me, testSite(i), uint64(i), lossDialSpread, all)
+		directorName := fmt.Sprint("d", i)
+		selector := newSelectorTest(t, directorName, testSite(i), uint64(i), lossDialSpread, all)
 		selector.run(4*time.Minute, outages)
-		selector.checkBestPair(me, testSite(i), all)
-		if len(selector.moved) > maxMoves || selector.unlinkedFor > maxUnlinked {
+		selector.checkBestPair(directorName, testSite(i), all)
+		if len(selector.moveTimes) > maxMoves || selector.unlinkedFor > maxUnlinked {
 			t.Errorf("%s: got moves at %v and %v without a link, want at most %d moves and %v",
-				me, selector.moved, selector.unlinkedFor, maxMoves, maxUnlinked)
+				directorName, selector.moveTimes, selector.unlinkedFor, maxMoves, maxUnlinked)
 		}
-		first, second := bestPair(me, testSite(i), all)
-		if len(selector.moved) > 0 {
+		first, second := bestPair(directorName, testSite(i), all)
+		if len(selector.moveTimes) > 0 {
 			moved++
 		}
-		for _, at := range selector.moved {
+		for _, at := range selector.moveTimes {
 			if at < 55*time.Second && first != "c2" && second != "c2" {
-				t.Errorf("%s: got a move at %v, want none before a better machine is back", me, at)
+				t.Errorf("%s: got a move at %v, want none before a more preferred machine has recovered", directorName, at)
 			}
 			perSecond[at/time.Second]++
-			times++
+			moves++
 		}
 	}
 	if moved < 100 {
 		t.Errorf("got %d directors that moved, want at least 100", moved)
 	}
-	if most := largest(perSecond); most > times/8 {
-		t.Errorf("got %d moves in one second, want at most an eighth of all %d", most, times)
+	if maximum := largest(perSecond); maximum > moves/8 {
+		t.Errorf("got %d moves in one second, want at most an eighth of all %d", maximum, moves)
 	}
-	t.Logf("%d directors moved %d times, at most %d in one second", moved, times, largest(perSecond))
+	t.Logf("%d directors moved %d times, at most %d in one second", moved, moves, largest(perSecond))
 }
 
-// TestLinksDoNotFollowFlappingMachine checks that links rarely move while a machine fails for three seconds every eight seconds.
-func TestLinksDoNotFollowFlappingMachine(t *testing.T) {
+// TestLinksRarelyMoveWithFlappingMachine checks that links rarely move while a machine fails for three seconds every eight seconds.
+func TestLinksRarelyMoveWithFlappingMachine(t *testing.T) {
 	all := nineMachines()
 	var outages []outage
 	for at := 10 * time.Second; at < 10*time.Minute; at += 8 * time.Second {
 		outages = append(outages, outage{name: "c3", from: at, to: at + 3*time.Second})
 	}
 	for i := range lossDirectors {
-		me := fmt.Sprint("d", i)
-		first, second := bestPair(me, testSite(i), all)
+		directorName := fmt.Sprint("d", i)
+		first, second := bestPair(directorName, testSite(i), all)
 		if first != "c3" && second != "c3" {
 			continue
 		}
-		selector := newSelectorTest(t, me, testSite(i), uint64(i), lossDialSpread, all)
+		selector := newSelectorTest(t, directorName, testSite(i), uint64(i), lossDialSpread, all)
 		selector.run(10*time.Minute, outages)
-		counts := selector.selector.Counts()
-		if counts.Moves > 30 || counts.Lost > 40 || len(selector.dials) > 110 {
-			t.Errorf("%s: got counts %+v and %d dials, want at most 30 moves, 40 lost links and 110 dials", me, counts, len(selector.dials))
+		counts := selector.linkSelector.Counts()
+		if counts.Moves > 30 || counts.Lost > 40 || len(selector.dialTimes) > 110 {
+			t.Errorf("%s: got counts %+v and %d dials, want at most 30 moves, 40 lost links and 110 dials", directorName, counts, len(selector.dialTimes))
 		}
 		if selector.unlinkedFor > 0 {
-			t.Errorf("%s: got %v without a link, want none", me, selector.unlinkedFor)
+			t.Errorf("%s: got %v without a link, want none", directorName, selector.unlinkedFor)
 		}
 	}
 }
 
-// TestDialsWhileAllMachinesAreDown checks that dials go on while no machine answers, of each machine ever less often down to a bound,
-// and that links are up soon after the machines recover.
+// TestDialsWhileAllMachinesAreDown checks that dials continue while no machine answers, that the interval between dials of one machine
+// grows up to a limit, and that links are up soon after the machines recover.
 func TestDialsWhileAllMachinesAreDown(t *testing.T) {
 	const (
 		downFrom       = 10 * time.Second
 		downTo         = 70 * time.Second
-		minDials       = 2 + 9*60/6       // two links, then each of nine machines at least each 6 s
-		maxDials       = 2 + 9*(60/2+3)   // and at most each 2 s, with three more at first
-		maxDialsOfEach = 60/2 + 4         // with one before the outage
+		minDials       = 2 + 9*60/6       // two links, then each of nine machines at least once in 6 s
+		maxDials       = 2 + 9*(60/2+3)   // and at most once in 2 s, with three more at first
+		maxDialsOfEach = 60/2 + 4         // including one before the outage
 		maxUnlinked    = 65 * time.Second // 5 s after the outage
 	)
 	all := nineMachines()
@@ -96,11 +96,11 @@
 	}
 	selector := newSelectorTest(t, "d", testSite(5), 7, lossDialSpread, all)
 	selector.run(downTo, outages)
-	if dials := len(selector.dials); dials < minDials || dials > maxDials {
+	if dials := len(selector.dialTimes); dials < minDials || dials > maxDials {
 		t.Errorf("got %d dials, want %d to %d", dials, minDials, maxDials)
 	}
 	for _, machine := range all {
-		if dials := selector.selector.Dials(machine.Name); dials > maxDialsOfEach {
+		if dials := selector.linkSelector.Dials(machine.Name); dials > maxDialsOfEach {
 			t.Errorf("%s: got %d dials, want at most %d", machine.Name, dials, maxDialsOfEach)
 		}
 	}
@@ -114,8 +114,8 @@
 	}
 }
 
-// TestDialsSpreadOverDialSpread checks that the first dials spread evenly over DialSpread, and so do those after all links broke at
-// once.
+// TestDialsSpreadOverDialSpread checks that the first dials are evenly distributed over DialSpread, and so are the dials after all
+// links broke at the same moment.
 func TestDialsSpreadOverDialSpread(t *testing.T) {
 	const (
 		spread  = lossDialSpread
@@ -123,43 +123,43 @@
 	)
 	all := nineMachines()
 	var outages []outage
-	for _, machine := range all { // they break all links, and answer again at once
+	for _, machine := range all { // all links break, and the machines answer again immediately
 		outages = append(outages, outage{name: machine.Name, from: brokeAt, to: brokeAt + 1})
 	}
 	var firstDials, dialsAfterLoss [4]int // by quarter of the spread
 	for i := range lossDirectors {
 		selector := newSelectorTest(t, fmt.Sprint("d", i), testSite(i), uint64(i), spread, all)
 		selector.run(40*time.Second, outages)
-		afterLoss := slices.IndexFunc(selector.dials, func(at time.Duration) bool { return at >= brokeAt })
-		if afterLoss < 2 || selector.dials[1] > spread || selector.dials[afterLoss+1] > brokeAt+spread {
-			t.Fatalf("d%d: got dials at %v, want two within %v of the start and two within %v of %v", i, selector.dials, spread, spread, brokeAt)
+		afterLoss := slices.IndexFunc(selector.dialTimes, func(at time.Duration) bool { return at >= brokeAt })
+		if afterLoss < 2 || selector.dialTimes[1] > spread || selector.dialTimes[afterLoss+1] > brokeAt+spread {
+			t.Fatalf("d%d: got dials at %v, want two within %v of the start and two within %v of %v", i, selector.dialTimes, spread, spread, brokeAt)
 		}
-		firstDials[selector.dials[0]*4/(spread+1)]++
-		dialsAfterLoss[(selector.dials[afterLoss]-brokeAt)*4/(spread+1)]++
+		firstDials[selector.dialTimes[0]*4/(spread+1)]++
+		dialsAfterLoss[(selector.dialTimes[afterLoss]-brokeAt)*4/(spread+1)]++
 	}
-	// Of two dials that are spread evenly, the first is in the quarters of the spread with probabilities 7/16, 5/16, 3/16 and 1/16.
+	// The earlier of two uniformly distributed dials is in the quarters of the spread with probabilities 7/16, 5/16, 3/16 and 1/16.
 	for quarter, sixteenths := range [4]int{7, 5, 3, 1} {
 		mean := lossDirectors * sixteenths / 16
-		least, most := mean*7/10, mean*13/10+6
+		minDials, maxDials := mean*7/10, mean*13/10+6
 		for _, count := range []int{firstDials[quarter], dialsAfterLoss[quarter]} {
-			if count < least || count > most {
+			if count < minDials || count > maxDials {
 				t.Errorf("quarter %d: got %d dials at first and %d after the loss, want %d to %d",
-					quarter, firstDials[quarter], dialsAfterLoss[quarter], least, most)
+					quarter, firstDials[quarter], dialsAfterLoss[quarter], minDials, maxDials)
 			}
 		}
 	}
 }
 
-// TestSecondLinkIsMostDistant checks that the second link goes to a machine with the greatest failure distance from the first,
-// whatever the preference. A single machine gets one link.
-func TestSecondLinkIsMostDistant(t *testing.T) {
+// TestSecondLinkHasGreatestFailureDistance checks that the second link goes to a machine with the greatest failure distance from the
+// first, regardless of the preference order, and that a single machine gets one link.
+func TestSecondLinkHasGreatestFailureDistance(t *testing.T) {
 	at := Place{Region: "r0", Zone: "z0", Site: "s0"}
 	same := ControlMachine{Name: "same", Place: at}
 	site := ControlMachine{Name: "site", Place: Place{Region: "r0", Zone: "z0", Site: "s1"}}
 	zone := ControlMachine{Name: "zone", Place: Place{Region: "r0", Zone: "z1", Site: "s2"}}
 	region := ControlMachine{Name: "region", Place: Place{Region: "r1", Zone: "z2", Site: "s3"}}
 	for i := range 20 {
-		me := fmt.Sprint("d", i)
+		directorName := fmt.Sprint("d", i)
 		for _, test := range []struct {
 			machines   []ControlMachine
 			wantLinked string // one of the two links
@@ -167,25 +167,25 @@
 			{machines: []ControlMachine{same, site, zone, region}, wantLinked: "region"},
 			{machines: []ControlMachine{same, site, zone}, wantLinked: "zone"},
 		} {
-			selector := newSelectorTest(t, me, at, 1, 0, test.machines)
+			selector := newSelectorTest(t, directorName, at, 1, 0, test.machines)
 			selector.run(time.Second, nil)
 			if selector.links[test.wantLinked] != Linked || selector.linked() != 2 {
-				t.Errorf("%s with %v: got links %v, want two, one of them to %s", me, test.machines, selector.links, test.wantLinked)
+				t.Errorf("%s with %v: got links %v, want two, one of them to %s", directorName, test.machines, selector.links, test.wantLinked)
 			}
 		}
 
-		selector := newSelectorTest(t, me, at, 1, 0, []ControlMachine{same})
+		selector := newSelectorTest(t, directorName, at, 1, 0, []ControlMachine{same})
 		selector.run(time.Minute, nil)
 		if selector.linked() != 1 || selector.active != "same" {
-			t.Errorf("%s with one machine: got links %v, active %q, want one active link", me, selector.links, selector.active)
+			t.Errorf("%s with one machine: got links %v, active %q, want one active link", directorName, selector.links, selector.active)
 		}
-		expectEqual(t, "next tick with one machine", selector.selector.NextTick(selector.now), Never)
+		expectEqual(t, "next tick with one machine", selector.linkSelector.NextTick(selector.now), Never)
 	}
 }
 
-// TestNeverTwoLinksInOneRegion checks that with three regions two links are never in the same one, not even after the best two
-// machines recover and one of them has replaced a stand-in.
-func TestNeverTwoLinksInOneRegion(t *testing.T) {
+// TestLinksAreInDifferentRegions checks that with three regions the two links are never in the same one. The critical moment is after
+// the best two machines have recovered, when only one of them has replaced its stand-in.
+func TestLinksAreInDifferentRegions(t *testing.T) {
 	all := []ControlMachine{
 		{Name: "a", Place: Place{Region: "r0", Zone: "z0", Site: "s0"}},
 		{Name: "b", Place: Place{Region: "r0", Zone: "z1", Site: "s1"}},
@@ -197,9 +197,9 @@
 		regions[machine.Name] = machine.Place.Region
 	}
 	for i := range 200 {
-		me := fmt.Sprint("d", i)
-		first, second := bestPair(me, all[0].Place, all)
-		selector := newSelectorTest(t, me, all[0].Place, uint64(i), 0, all)
+		directorName := fmt.Sprint("d", i)
+		first, second := bestPair(directorName, all[0].Place, all)
+		selector := newSelectorTest(t, directorName, all[0].Place, uint64(i), 0, all)
 		outages := []outage{
 			{name: first, from: 20 * time.Second, to: 21 * time.Second},
 			{name: second, from: 20 * time.Second, to: 21 * time.Second},
@@ -208,18 +208,18 @@
 			selector.run(at, outages)
 			names := slices.Sorted(maps.Keys(selector.links))
 			if selector.linked() == 2 && len(names) == 2 && regions[names[0]] == regions[names[1]] {
-				t.Fatalf("%s at %v: got links to %v, want them in different regions", me, at, names)
+				t.Fatalf("%s at %v: got links to %v, want them in different regions", directorName, at, names)
 			}
 		}
-		if selector.active != first || selector.links[second] != Linked || selector.selector.Counts().Moves == 0 {
+		if selector.active != first || selector.links[second] != Linked || selector.linkSelector.Counts().Moves == 0 {
 			t.Errorf("%s: got links %v, active %s, %d moves, want %s (active) and %s after some moves",
-				me, selector.links, selector.active, selector.selector.Counts().Moves, first, second)
+				directorName, selector.links, selector.active, selector.linkSelector.Counts().Moves, first, second)
 		}
 	}
 }
 
-// TestBackoffDoubles checks that the backoff of a machine doubles with each fault in a row up to a bound, and that a link that was up
-// for SteadyAfter ends the row.
+// TestBackoffDoubles checks that the backoff of a machine doubles with each consecutive fault up to MaxBackoff, and that a link that
+// was up for SteadyAfter resets it.
 func TestBackoffDoubles(t *testing.T) {
 	selector := NewLinkSelector(SelectorConfig{Name: "d", Seed: 1}, []ControlMachine{{Name: "a"}}, 0)
 	now := time.Duration(0)
@@ -237,76 +237,76 @@
 		return backoff
 	}
 	selector.Tick(now)
-	for i, test := range []struct{ upFor, least time.Duration }{
-		{upFor: time.Second, least: 500 * time.Millisecond},
-		{upFor: time.Second, least: time.Second},
-		{upFor: time.Second, least: 2 * time.Second},
-		{upFor: time.Second, least: 2500 * time.Millisecond},
-		{upFor: time.Second, least: 2500 * time.Millisecond},
-		{upFor: 10 * time.Second, least: 500 * time.Millisecond},
-		{upFor: time.Second, least: time.Second},
+	for i, test := range []struct{ upFor, minBackoff time.Duration }{
+		{upFor: time.Second, minBackoff: 500 * time.Millisecond},
+		{upFor: time.Second, minBackoff: time.Second},
+		{upFor: time.Second, minBackoff: 2 * time.Second},
+		{upFor: time.Second, minBackoff: 2500 * time.Millisecond},
+		{upFor: time.Second, minBackoff: 2500 * time.Millisecond},
+		{upFor: 10 * time.Second, minBackoff: 500 * time.Millisecond},
+		{upFor: time.Second, minBackoff: time.Second},
 	} {
-		most := 2*test.least + time.Millisecond
-		if backoff := backoffAfter(test.upFor); backoff < test.least || backoff > most {
-			t.Errorf("fault %d: got a backoff of %v, want %v to %v", i, backoff, test.least, most)
+		maxBackoff := 2*test.minBackoff + time.Millisecond
+		if backoff := backoffAfter(test.upFor); backoff < test.minBackoff || backoff > maxBackoff {
+			t.Errorf("fault %d: got a backoff of %v, want %v to %v", i, backoff, test.minBackoff, maxBackoff)
 		}
 	}
 }
 
-// TestRandomInputs gives a selector inputs in any order, also those that do not fit its state, and changes its list of machines. After
-// each step its links are those that follow from its actions. After five minutes without faults the best two machines are linked,
-// and the first is active.
-func TestRandomInputs(t *testing.T) {
+// TestSelectorWithRandomInputs passes a selector inputs in random order, including inputs that do not fit its state, and changes its
+// list of machines. After each step its links must agree with its actions so far. After five minutes without faults the best two
+// machines must be linked, and the first must be active.
+func TestSelectorWithRandomInputs(t *testing.T) {
 	for seed := range uint64(300) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		all := nineMachines()
 		listed := all
-		me, at := fmt.Sprint("d", seed), testSite(int(seed))
-		selector := newSelectorTest(t, me, at, seed, time.Duration(random.IntN(2))*lossDialSpread, all)
+		directorName, at := fmt.Sprint("d", seed), testSite(int(seed))
+		selector := newSelectorTest(t, directorName, at, seed, time.Duration(random.IntN(2))*lossDialSpread, all)
 		for range 400 {
 			if random.IntN(3) > 0 {
 				selector.now += time.Duration(random.IntN(1<<(4+random.IntN(11)))) * time.Millisecond
 			}
 			name := all[random.IntN(len(all))].Name
-			state := selector.links[name] // Vacant if there is none
+			state := selector.links[name] // Vacant if there is no link or dial
 			switch random.IntN(8) {
 			case 0, 1, 2:
 				if state == Dialling {
 					selector.links[name] = Linked
 				}
-				selector.apply(selector.selector.LinkUp(selector.now, name), false)
+				selector.apply(selector.linkSelector.LinkUp(selector.now, name), false)
 			case 3:
 				if state == Dialling {
 					selector.disconnect(name)
 				}
-				selector.apply(selector.selector.DialFailed(selector.now, name), false)
+				selector.apply(selector.linkSelector.DialFailed(selector.now, name), false)
 			case 4:
 				if state == Linked {
 					selector.disconnect(name)
 				}
-				selector.apply(selector.selector.LinkLost(selector.now, name), false)
+				selector.apply(selector.linkSelector.LinkLost(selector.now, name), false)
 			case 5:
 				if random.IntN(10) == 0 {
 					listed = slices.Clone(all)
 					random.Shuffle(len(listed), func(i, j int) { listed[i], listed[j] = listed[j], listed[i] })
 					listed = listed[:1+random.IntN(len(listed))]
-					selector.apply(selector.selector.SetMachines(selector.now, listed), true)
+					selector.apply(selector.linkSelector.SetMachines(selector.now, listed), true)
 				}
 			default:
-				selector.apply(selector.selector.Tick(selector.now), false)
+				selector.apply(selector.linkSelector.Tick(selector.now), false)
 			}
-			if next := selector.selector.NextTick(selector.now); next <= selector.now {
+			if next := selector.linkSelector.NextTick(selector.now); next <= selector.now {
 				t.Fatalf("seed %d: got the next tick at %v, want one after %v", seed, next, selector.now)
 			}
 		}
 		selector.run(selector.now+5*time.Minute, nil)
 		if len(listed) >= 2 {
-			selector.checkBestPair(me, at, listed)
+			selector.checkBestPair(directorName, at, listed)
 		}
 	}
 }
 
-// TestSelectorIsDeterministic checks that the same seed, director and history give the same dials, and another seed others.
+// TestSelectorIsDeterministic checks that the same seed, director and history result in the same dials, and another seed in others.
 func TestSelectorIsDeterministic(t *testing.T) {
 	dials := func(seed uint64) []time.Duration {
 		selector := newSelectorTest(t, "d", testSite(3), seed, time.Second, nineMachines())
@@ -314,7 +314,7 @@
 			{name: "c0", from: 10 * time.Second, to: 60 * time.Second, hangs: true},
 			{name: "c5", from: 11 * time.Second, to: 200 * time.Second},
 		})
-		return selector.dials
+		return selector.dialTimes
 	}
 	want := dials(1)
 	if got := dials(1); !slices.Equal(got, want) {
@@ -325,26 +325,26 @@
 	}
 }
 
-// TestNewMachineGetsLinksGradually checks that a machine that is added to the list gets its links over tens of seconds, not all at
-// once, and that no director is without a link meanwhile.
+// TestNewMachineGetsLinksGradually checks that a machine that is added to the list gets its links over tens of seconds, instead of all
+// at the same moment, and that no director is without a link in that time.
 func TestNewMachineGetsLinksGradually(t *testing.T) {
 	all := nineMachines()
 	perSecond, moved := map[time.Duration]int{}, 0 // first dials after the change
 	for i := range lossDirectors {
-		me := fmt.Sprint("d", i)
-		selector := newSelectorTest(t, me, testSite(i), uint64(i), 0, all[1:])
+		directorName := fmt.Sprint("d", i)
+		selector := newSelectorTest(t, directorName, testSite(i), uint64(i), 0, all[1:])
 		selector.run(time.Minute, nil)
-		dialsBefore := len(selector.dials)
-		selector.apply(selector.selector.SetMachines(selector.now, all), true)
+		dialsBefore := len(selector.dialTimes)
+		selector.apply(selector.linkSelector.SetMachines(selector.now, all), true)
 		selector.run(3*time.Minute, nil)
-		first, second := bestPair(me, testSite(i), all)
+		first, second := bestPair(directorName, testSite(i), all)
 		if selector.active != first || selector.links[second] != Linked || selector.unlinkedFor > 0 {
 			t.Errorf("%s: got links %v, active %s, %v without a link, want %s (active) and %s at all times",
-				me, selector.links, selector.active, selector.unlinkedFor, first, second)
+				directorName, selector.links, selector.active, selector.unlinkedFor, first, second)
 		}
-		if len(selector.dials) > dialsBefore {
+		if len(selector.dialTimes) > dialsBefore {
 			moved++
-			perSecond[(selector.dials[dialsBefore]-time.Minute)/time.Second]++
+			perSecond[(selector.dialTimes[dialsBefore]-time.Minute)/time.Second]++
 		}
 	}
 	if moved < 80 {
--- a/internal/changefeed/sim_test.go
+++ b/internal/changefeed/sim_test.go
@@ -9,25 +9,25 @@
 )
 
 var (
-	schedules = flag.Int("schedules", 80, "number of random schedules of loss, partitions, restarts and moves, in small installations")
-	directors = flag.Int("directors", 580, "directors of the large installation")
-	steps     = flag.Int("steps", 300, "steps of the large installation with faults, of 50 ms each")
+	schedules = flag.Int("schedules", 80, "number of random schedules of loss, partitions, restarts and moves in small installations")
+	directors = flag.Int("directors", 580, "number of directors in the large installation")
+	steps     = flag.Int("steps", 300, "number of steps with faults in the large installation, of 50 ms each")
 )
 
 const (
 	step            = 50 * time.Millisecond
 	compareInterval = 500 * time.Millisecond
-	maxHops         = 50              // of an event; each of them rounds its age up by less than a microsecond
+	maxHops         = 50              // maximum number of hops of an event; each rounds its age up by less than a microsecond
 	forgedNumber    = uint64(1) << 40 // event number that no origin reaches
 
-	maxRecoverySteps = 100 // steps after the faults within which all must have caught up: 10 comparisons of positions
+	maxRecoverySteps = 100 // steps after the faults in which all must catch up: 10 comparisons of positions
 )
 
-// acceptsGaps has injectGapBug inject a bug. It is set by the test that shows that the simulation finds the bug.
+// acceptsGaps enables injectGapBug. Only TestSimulationFindsGapTakenAsRead sets it.
 var acceptsGaps bool
 
-// injectGapBug injects a bug if acceptsGaps is set: readers and control machines accept an event across a gap. It sets Prev of an
-// event that is about to be read to 0, so that it is accepted at any position below its number, as by a reader that ignores Prev.
+// injectGapBug injects a bug if acceptsGaps is set: readers and control machines accept an event after a gap. It sets Prev of an event
+// to 0 just before the event is read. So the event is accepted at any position below its number, as if the reader ignored Prev.
 func injectGapBug(event *Event) {
 	if acceptsGaps {
 		event.Prev = 0
@@ -39,17 +39,17 @@
 // against that record.
 type simulation struct {
 	random          *rand.Rand
-	now             time.Duration // real time
+	now             time.Duration // simulated real time
 	regions         int
 	controls        []*machine
 	directors       []*director
 	inFlight        []delivery
-	partition       []int   // by region: its side of a partition
+	partition       []int   // side of the network partition, by region
 	loss            float64 // probability that a message is lost
 	faultInterval   int     // mean number of steps between two faults
 	publishInterval int     // mean number of steps between two events of a control machine
-	maxEntries      int     // maximum number of entries of a control machine; 0: the default
-	codecInterval   int     // events to one director of this many are encoded and decoded
+	maxEntries      int     // maximum number of entries of a control machine; 0 means the default
+	codecInterval   int     // events are encoded and decoded for one director out of this many
 
 	// Record of what was published.
 	published map[epochID][]*publishedEvent // by number, from 1
@@ -60,35 +60,35 @@
 
 	violations []string // descriptions of violated rules
 
-	// If clocksStepped is set, wall clocks are stepped between incarnations. The others count incarnations that began with a wall
-	// clock an hour ahead or behind, and in the same epoch as the incarnation before.
+	// If clocksStepped is set, wall clocks are stepped between incarnations. The counters are of incarnations that began with a
+	// wall clock an hour ahead or behind, or in the same epoch as the previous incarnation.
 	clocksStepped                          bool
 	clocksAhead, clocksBehind, clocksEqual int
 
-	// Counts that tell whether a schedule tried anything.
-	skipped    int // events that were skipped
-	losses     int // skipped events that were evicted
-	restarts   int // restarts of control machines
-	moves      int // times that a director began to follow a control machine
-	resumed    int // gaps that directors met
-	forged     int // claims that no machine can answer
-	expected   int // events that all must have in the end
-	superseded int // events that were superseded by a fencing number
-	renewed    int // epochs begun because an earlier incarnation was reported after the node settled
+	// Counters that show which conditions a schedule has exercised.
+	skipped      int // events that were skipped
+	losses       int // skipped events that were evicted
+	restarts     int // restarts of control machines
+	moves        int // times that a director began to follow a control machine
+	gaps         int // gaps that directors encountered
+	forgedClaims int // claims of events that no machine has
+	expected     int // events that all must have at the end
+	superseded   int // events that were superseded by a fencing number
+	renewed      int // epochs begun because an earlier incarnation was reported after the node settled
 }
 
 // publishedEvent is an event as it was published.
 type publishedEvent struct {
 	index       int // in simulation.events
-	payload     int // its index, or the index of the first one if an event was published again
+	payload     int // its index, or the index of the original event if it was published again
 	id          epochID
 	number      uint64
 	key         string
 	fence       uint64
 	publishedAt time.Duration
 	lifetime    time.Duration
-	holders     []holder // control machines that ever stored it
-	replaced    bool     // superseded
+	holders     []holder // incarnations of control machines that have stored it
+	superseded  bool     // superseded
 }
 
 // holder is one incarnation of a control machine, by its index in simulation.controls.
@@ -103,11 +103,11 @@
 	epoch       uint64
 	clockOffset time.Duration                     // difference of its clock from real time
 	deadUntil   time.Duration                     // real time before which it does not run
-	transit     map[*publishedEvent]time.Duration // by stored event: its time in transit, which its age does not include
+	transit     map[*publishedEvent]time.Duration // total time in transit of each stored event, which its age does not include
 	lost        map[epochID]uint64                // number up to which events were reported as lost
-	fences      map[string]uint64                 // fencing number that it uses, by key; it may not know of a later lease holder
+	fences      map[string]uint64                 // fencing number that it uses, by key; a later lease holder may exist
 	startedAt   time.Duration                     // real time of the start of this incarnation
-	unsettled   []*publishedEvent                 // events published while it learns its epochs, which were sent to no machine yet
+	unsettled   []*publishedEvent                 // events published before it settled, which have not been sent to any machine
 	settled     bool
 }
 
@@ -116,8 +116,8 @@
 	hourMillis  = uint64(time.Hour / time.Millisecond)
 )
 
-// steppedEpoch returns the epoch by a wall clock that was stepped at random: correct, an hour behind or ahead, or the same as at
-// the start of the incarnation before.
+// steppedEpoch returns an epoch from a wall clock that was stepped at random: correct, an hour behind or ahead, or equal to that at the
+// start of the previous incarnation.
 func (sim *simulation) steppedEpoch(control *machine) uint64 {
 	correct := 10*hourMillis + uint64(sim.now/time.Millisecond)
 	switch sim.random.IntN(4) {
@@ -136,16 +136,16 @@
 	return correct
 }
 
-// allSettled reports whether all control machines run and have learnt their epochs.
+// allSettled reports whether all control machines run and have settled.
 func (sim *simulation) allSettled() bool {
 	return !slices.ContainsFunc(sim.controls, func(control *machine) bool { return !sim.alive(control) || !control.settled })
 }
 
-// observeEpoch records the epoch of a control machine if it has changed, and the events that it published before it settled.
+// observeEpoch records a change of a control machine's epoch, and once the machine has settled, the events that it published before.
 func (sim *simulation) observeEpoch(control *machine) {
 	before := control.epoch
 	control.epoch = control.node.Epoch()
-	if control.settled && control.epoch != before { // only a director knew of an earlier incarnation
+	if control.settled && control.epoch != before { // a director reported an earlier incarnation that no machine knew
 		sim.recordRenewal(control, epochID{control.name, before})
 		return
 	}
@@ -188,16 +188,16 @@
 			fence:       published.fence,
 			publishedAt: published.publishedAt,
 			lifetime:    published.lifetime,
-			replaced:    published.replaced,
+			superseded:  published.superseded,
 		}
-		published.replaced = true
+		published.superseded = true
 		sim.events = append(sim.events, renewed)
 		sim.published[id] = append(sim.published[id], renewed)
 		sim.newest[[2]string{control.name, published.key}] = renewed
 		if renewed.fence > 0 {
 			sim.fenced[renewed.key] = append(sim.fenced[renewed.key], renewed)
 		}
-		sim.holds(control, renewed, 0)
+		sim.recordHolder(control, renewed, 0)
 	}
 }
 
@@ -206,24 +206,24 @@
 	return realTime + control.clockOffset
 }
 
-// director is a director that follows one control machine after another.
+// director is a simulated director. It subscribes at one control machine at a time.
 type director struct {
 	region             int
 	reader             *Reader
-	machine            *machine // control machine that it follows; nil: none
-	machineIncarnation int      // incarnation of that machine
+	machine            *machine // control machine that it subscribes at, or nil
+	machineIncarnation int      // incarnation of that machine at the time of the subscription
 	cursor             *Cursor
 	inFlight           []batch
-	linkBreaksAt       time.Duration      // when its link breaks; 0: it does not
+	linkBreaksAt       time.Duration      // when its link breaks; 0 if it does not
 	writeInterval      int                // mean number of steps between two batches of events to it
-	maxBytes           int                // bytes that are sent to it at once
+	maxBytes           int                // maximum number of bytes that are sent to it at a time
 	accepted           map[int]bool       // by index of the event
 	last               map[epochID]uint64 // number of the last accepted event
 	lost               map[epochID]uint64 // number up to which events were reported as lost
 	fences             map[string]uint64  // highest accepted fencing number by key
 }
 
-// batch is the events that are sent to a director at once.
+// batch is a group of events that are sent to a director together.
 type batch struct {
 	arrivesAt time.Duration
 	events    []carriedEvent
@@ -242,7 +242,7 @@
 	transit           []time.Duration // by event: time in transit before the message was sent
 }
 
-// newSimulation returns an installation that starts now. Everything random follows from the seed.
+// newSimulation returns an installation at time 0. All random choices are determined by the seed.
 func newSimulation(seed uint64, controls, directors, regions int) *simulation {
 	sim := &simulation{
 		random:          rand.New(rand.NewPCG(seed, 11)),
@@ -292,8 +292,8 @@
 		MaxEntries:      sim.maxEntries,
 	}
 	if sim.clocksStepped {
-		for _, published := range control.unsettled { // the incarnation ended before it sent them
-			published.replaced = true
+		for _, published := range control.unsettled { // the incarnation ended before it sent these events
+			published.superseded = true
 		}
 		control.unsettled, control.settled = nil, false
 		control.epoch = sim.steppedEpoch(control)
@@ -313,11 +313,11 @@
 	follower.last = map[epochID]uint64{}
 	follower.lost = map[epochID]uint64{}
 	follower.fences = map[string]uint64{}
-	follower.leave()
+	follower.disconnect()
 }
 
-// leave ends the link of the director. Events in transit to it are lost.
-func (follower *director) leave() {
+// disconnect ends the link of a director. Events in transit to the director are lost.
+func (follower *director) disconnect() {
 	follower.machine, follower.cursor, follower.inFlight, follower.linkBreaksAt = nil, nil, nil, 0
 }
 
@@ -329,7 +329,7 @@
 	sim.violations = append(sim.violations, fmt.Sprintf("%v: ", sim.now)+fmt.Sprintf(format, args...))
 }
 
-// event returns the record of an event; nil: no such event was published.
+// event returns the record of an event, or nil if no such event was published.
 func (sim *simulation) event(id epochID, number uint64) *publishedEvent {
 	if list := sim.published[id]; number > 0 && number <= uint64(len(list)) {
 		return list[number-1]
@@ -337,12 +337,12 @@
 	return nil
 }
 
-// machine returns the control machine of a name.
+// machine returns the control machine with a name.
 func (sim *simulation) machine(name string) *machine {
 	return sim.controls[slices.IndexFunc(sim.controls, func(control *machine) bool { return control.name == name })]
 }
 
-// step lets one step of time pass and checks the rules. If quiet is set, no machine publishes.
+// step simulates one step of time and checks the rules. If quiet is set, no machine publishes.
 func (sim *simulation) step(quiet bool) {
 	sim.now += step
 	for _, control := range sim.controls {
@@ -365,7 +365,7 @@
 	sim.check()
 }
 
-// deliverArrivals delivers the messages that have arrived. Those to dead control machines are lost.
+// deliverArrivals delivers the messages that have arrived. Messages to control machines that do not run are lost.
 func (sim *simulation) deliverArrivals() {
 	inFlight := sim.inFlight
 	sim.inFlight = nil
@@ -381,10 +381,10 @@
 	}
 }
 
-// stepDirector has a director follow a control machine, and accept and be sent events.
+// stepDirector simulates one step of a director: it connects if necessary, reads events that have arrived, and is sent further ones.
 func (sim *simulation) stepDirector(i int, follower *director) {
 	if follower.machine != nil && sim.isLinkBroken(follower) {
-		follower.leave()
+		follower.disconnect()
 	}
 	if follower.machine == nil {
 		sim.follow(follower)
@@ -395,7 +395,7 @@
 	}
 }
 
-// isLinkBroken reports whether the link of a director to its control machine is lost.
+// isLinkBroken reports whether the link of a director to its control machine has to end.
 func (sim *simulation) isLinkBroken(follower *director) bool {
 	control := follower.machine
 	isRestarted := control.incarnation != follower.machineIncarnation
@@ -407,7 +407,7 @@
 // injectFault injects a random fault.
 func (sim *simulation) injectFault() {
 	control := sim.controls[sim.random.IntN(len(sim.controls))]
-	if sim.clocksStepped && !sim.allSettled() { // only one restarts at a time, so that it learns its earlier epochs from the others
+	if sim.clocksStepped && !sim.allSettled() { // only one machine restarts at a time, so that the others can report its earlier epochs to it
 		return
 	}
 	switch sim.random.IntN(8) {
@@ -425,7 +425,7 @@
 			clear(sim.partition)
 			sim.loss = 0
 		}
-		if control.incarnation < logEpochs-2 { // with more incarnations the events of the oldest epoch would be lost
+		if control.incarnation < logEpochs-2 { // with more incarnations the log of the oldest epoch would be evicted
 			sim.start(control)
 			control.deadUntil = sim.now + time.Duration(sim.random.IntN(2)*sim.random.IntN(3000))*time.Millisecond
 			sim.restarts++
@@ -438,14 +438,14 @@
 		for range 1 + len(sim.directors)/10 {
 			sim.follow(sim.directors[sim.random.IntN(len(sim.directors))])
 		}
-	case 7: // a control machine claims to be far ahead
+	case 7: // a control machine reports forged positions or events
 		sim.forgeClaims(control)
 	}
 }
 
-// forgeClaims has a control machine claim, to each other one, a position or an event that no machine can have.
+// forgeClaims sends each other machine, in the name of a control machine, a position or an event that no machine can have.
 func (sim *simulation) forgeClaims(control *machine) {
-	sim.forged++
+	sim.forgedClaims++
 	origin := sim.controls[sim.random.IntN(len(sim.controls))]
 	for _, other := range sim.controls {
 		if other == control {
@@ -467,8 +467,8 @@
 	}
 }
 
-// run runs a schedule of a number of steps with faults. Then it ends all faults, and checks that all catch up. It stops at the first
-// violation.
+// run simulates a number of steps with faults. Then it ends all faults, and checks that all machines and directors catch up. It stops
+// at the first violation.
 func (sim *simulation) run(steps int) {
 	for range steps {
 		if sim.random.IntN(sim.faultInterval) == 0 {
@@ -492,10 +492,10 @@
 		if len(sim.violations) > 0 {
 			return
 		}
-		if sim.now%compareInterval == 0 && len(sim.behind()) == 0 {
+		if sim.now%compareInterval == 0 && len(sim.lagging()) == 0 {
 			sim.checkComplete()
 			return
 		}
 	}
-	sim.fail("after %v not all had caught up: %v", maxRecoverySteps*step, sim.behind())
+	sim.fail("not all have caught up after %v: %v", maxRecoverySteps*step, sim.lagging())
 }
--- a/internal/changefeed/sim_traffic_test.go
+++ b/internal/changefeed/sim_traffic_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// publish has a control machine publish an event with a random key, lifetime and fencing number, and records it.
+// publish publishes an event with a random key, lifetime and fencing number at a control machine, and records it.
 func (sim *simulation) publish(control *machine) {
 	key := fmt.Sprintf("k%d", sim.random.IntN(12))
 	if sim.random.IntN(2) == 0 { // a key that is used only once
@@ -16,7 +16,7 @@
 	if sim.random.IntN(4) == 0 {
 		lifetime = time.Duration(1+sim.random.IntN(3000)) * time.Millisecond
 	}
-	if sim.random.IntN(6) == 0 { // a key of a lease, under its newest fencing number or an earlier one
+	if sim.random.IntN(6) == 0 { // a key of a lease, with its newest fencing number or an earlier one
 		key = fmt.Sprintf("fenced/%d", sim.random.IntN(3))
 		if control.fences[key] == 0 || sim.random.IntN(2) == 0 {
 			sim.fence++
@@ -47,7 +47,7 @@
 		published.number = uint64(len(control.unsettled))
 	}
 	sim.recordSuperseded(published)
-	sim.holds(control, published, 0)
+	sim.recordHolder(control, published, 0)
 	sim.send(control, out)
 }
 
@@ -56,26 +56,26 @@
 func (sim *simulation) recordSuperseded(published *publishedEvent) {
 	originAndKey := [2]string{published.id.origin, published.key}
 	if older := sim.newest[originAndKey]; older != nil {
-		older.replaced = true
+		older.superseded = true
 	}
 	sim.newest[originAndKey] = published
 	if published.fence == 0 {
 		return
 	}
 	for _, other := range sim.fenced[published.key] {
-		other.replaced = other.replaced || other.fence < published.fence
-		published.replaced = published.replaced || other.fence > published.fence
+		other.superseded = other.superseded || other.fence < published.fence
+		published.superseded = published.superseded || other.fence > published.fence
 	}
 	sim.fenced[published.key] = append(sim.fenced[published.key], published)
 }
 
-// holds records that a control machine stores an event that was in transit for a time.
-func (sim *simulation) holds(control *machine, published *publishedEvent, transit time.Duration) {
+// recordHolder records that a control machine stores an event, and the total time that the event was in transit.
+func (sim *simulation) recordHolder(control *machine, published *publishedEvent, transit time.Duration) {
 	control.transit[published] = transit
 	published.holders = append(published.holders, holder{slices.Index(sim.controls, control), control.incarnation})
 }
 
-// send puts the messages of a control machine on the network, encoded and decoded. One in ten is duplicated.
+// send encodes and decodes the messages of a control machine and puts them on the network. One in ten is duplicated.
 func (sim *simulation) send(from *machine, list []Message) {
 	for _, sent := range list {
 		message, err := ParseMessage(AppendMessage(nil, &sent))
@@ -84,7 +84,7 @@
 		}
 		message.To, message.From = sent.To, sent.From
 		if message.From != from.name {
-			sim.fail("%s sent as %s", from.name, message.From)
+			sim.fail("%s sent a message with sender %s", from.name, message.From)
 		}
 		if sim.partition[from.region] != sim.partition[sim.machine(message.To).region] || sim.random.Float64() < sim.loss {
 			continue
@@ -104,7 +104,7 @@
 	}
 }
 
-// deliver gives a message to a control machine, and checks which events that accepts and skips.
+// deliver delivers a message to a control machine, and checks which events the machine accepts and skips.
 func (sim *simulation) deliver(arrival *delivery, control *machine) {
 	before := map[epochID]uint64{}
 	for i := range arrival.message.Events {
@@ -135,14 +135,14 @@
 		}
 		accepted[published] = true
 		sim.checkAccepted(control.name, published, event, transit)
-		sim.holds(control, published, transit)
+		sim.recordHolder(control, published, transit)
 	}
 	for i := range arrival.message.Events {
 		id := epochID{arrival.message.Events[i].Origin, arrival.message.Events[i].Epoch}
 		for number := before[id] + 1; number <= control.node.position(id.origin, id.epoch); number++ {
 			published := sim.event(id, number)
 			if published == nil {
-				sim.fail("%s is at %v:%d, ahead of what was published", control.name, id, number)
+				sim.fail("%s is at %v:%d, ahead of the published events", control.name, id, number)
 				break
 			}
 			if !accepted[published] {
@@ -153,7 +153,7 @@
 	sim.send(control, out)
 }
 
-// follow has a director follow a random control machine, if it can reach that.
+// follow connects a director to a random control machine, if it can reach that machine.
 func (sim *simulation) follow(follower *director) {
 	control := sim.controls[sim.random.IntN(len(sim.controls))]
 	if !sim.alive(control) || sim.partition[control.region] != sim.partition[follower.region] {
@@ -163,13 +163,13 @@
 	if err != nil {
 		panic(err)
 	}
-	follower.leave()
+	follower.disconnect()
 	follower.machine, follower.machineIncarnation, follower.cursor = control, control.incarnation, control.node.Subscribe(vector)
 	sim.observeEpoch(control)
 	sim.moves++
 }
 
-// write sends a director the events that follow its cursor. If they are lost, its link breaks later.
+// write sends a director the events that follow its cursor. If they are lost, the link breaks later.
 func (sim *simulation) write(i int, follower *director) {
 	control := follower.machine
 	events := control.node.Next(control.clock(sim.now), follower.cursor, follower.maxBytes)
@@ -189,7 +189,7 @@
 		return
 	}
 	sending := batch{arrivesAt: sim.now + time.Duration(sim.random.IntN(150))*time.Millisecond}
-	if last := len(follower.inFlight) - 1; last >= 0 { // a link does not reorder
+	if last := len(follower.inFlight) - 1; last >= 0 { // a link preserves the order
 		sending.arrivesAt = max(sending.arrivesAt, follower.inFlight[last].arrivesAt)
 	}
 	for _, event := range events {
@@ -202,7 +202,7 @@
 	follower.inFlight = append(follower.inFlight, sending)
 }
 
-// read has a director accept the events that have arrived. After a gap it follows a control machine anew.
+// read passes the events that have arrived to a director. After a gap the director connects to a control machine again.
 func (sim *simulation) read(i int, follower *director) {
 	for len(follower.inFlight) > 0 && follower.inFlight[0].arrivesAt <= sim.now {
 		arrival := follower.inFlight[0]
@@ -211,16 +211,16 @@
 			if sim.accept(i, follower, &arrival.events[index], sim.now-arrival.arrivesAt) {
 				continue
 			}
-			sim.resumed++
+			sim.gaps++
 			sim.follow(follower)
 			return
 		}
 	}
 }
 
-// accept has a director decide on an event, and checks the verdict. It returns false for a gap.
+// accept passes an event to the reader of a director, and checks the verdict. It returns false for a gap.
 func (sim *simulation) accept(i int, follower *director, event *carriedEvent, delay time.Duration) bool {
-	who, id := fmt.Sprintf("d%d", i), epochID{event.Origin, event.Epoch}
+	receiver, id := fmt.Sprintf("d%d", i), epochID{event.Origin, event.Epoch}
 	position, _ := follower.reader.ledger.position(event.Origin, event.Epoch)
 	injectGapBug(&event.Event)
 	verdict := follower.reader.Accept(&event.Event)
@@ -228,7 +228,7 @@
 	case Gap:
 		return false
 	case Invalid, Old:
-		sim.fail("%s was sent an event that is %v: %v", who, verdict, event.Event)
+		sim.fail("%s: got verdict %v on an event that was sent to it: %v", receiver, verdict, event.Event)
 	case Accepted, Expired, Superseded:
 		if event.LostUpTo > position {
 			follower.lost[id] = max(follower.lost[id], event.LostUpTo)
@@ -239,38 +239,38 @@
 		}
 		for number := position + 1; number <= lastSkipped; number++ {
 			if published := sim.event(id, number); published != nil {
-				sim.checkSkipped(who, published, follower.lost[id])
+				sim.checkSkipped(receiver, published, follower.lost[id])
 			}
 		}
 	}
 	if verdict == Superseded {
 		sim.superseded++
 		if follower.fences[event.Key] <= event.Fence {
-			sim.fail("%s skipped %v:%d under %d, though it accepted none higher than %d of %s",
-				who, id, event.Number, event.Fence, follower.fences[event.Key], event.Key)
+			sim.fail("%s skipped %v:%d with fencing number %d, but its highest accepted one was %d for key %s",
+				receiver, id, event.Number, event.Fence, follower.fences[event.Key], event.Key)
 		}
 	}
 	if verdict == Accepted {
-		sim.checkDirectorAccepted(who, follower, event, delay)
+		sim.checkDirectorAccepted(receiver, follower, event, delay)
 	}
 	return true
 }
 
-// checkDirectorAccepted checks an event that a director accepted, and records that.
-func (sim *simulation) checkDirectorAccepted(who string, follower *director, event *carriedEvent, delay time.Duration) {
+// checkDirectorAccepted checks an event that a director accepted, and records it as accepted.
+func (sim *simulation) checkDirectorAccepted(receiver string, follower *director, event *carriedEvent, delay time.Duration) {
 	id := epochID{event.Origin, event.Epoch}
 	if event.Fence < follower.fences[event.Key] {
-		sim.fail("%s accepted %v:%d under %d after %d of %s", who, id, event.Number, event.Fence, follower.fences[event.Key], event.Key)
+		sim.fail("%s accepted %v:%d with fencing number %d after %d for key %s", receiver, id, event.Number, event.Fence, follower.fences[event.Key], event.Key)
 	}
 	follower.fences[event.Key] = event.Fence
 	published := sim.event(id, event.Number)
 	if published == nil {
-		sim.fail("%s accepted %v:%d, which was not published", who, id, event.Number)
+		sim.fail("%s accepted %v:%d, which was not published", receiver, id, event.Number)
 		return
 	}
 	if follower.accepted[published.index] || follower.last[id] >= event.Number {
-		sim.fail("%s accepted %v:%d after %d, twice or out of order", who, id, event.Number, follower.last[id])
+		sim.fail("%s accepted %v:%d after %d, twice or out of order", receiver, id, event.Number, follower.last[id])
 	}
 	follower.accepted[published.index], follower.last[id] = true, event.Number
-	sim.checkAccepted(who, published, &event.Event, event.transit+delay)
+	sim.checkAccepted(receiver, published, &event.Event, event.transit+delay)
 }
