--- a/internal/changefeed/store.go
+++ b/internal/changefeed/store.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// store holds the logs of all origins. The number and the size of all entries together are bounded.
+// store holds the logs of all origins. The total number and the total size of all entries are limited.
 type store struct {
 	maxEntries, maxBytes int
 	origins              map[string]*originLogs
-	own                  *epochLog   // log that the node publishes in, which is never dropped
-	hidden               bool        // own must not be shown to others yet
+	own                  *epochLog   // log of the events that the node publishes; it is never dropped
+	hidden               bool        // whether own is hidden from others
 	sorted               []*epochLog // all logs, sorted by origin and then by epoch
-	version              uint64      // rises with every change of sorted or hidden
+	version              uint64      // incremented with every change of sorted or hidden
 	expiry               expiryHeap
 	arrivals             uint64
 	entries, bytes       int
 	evicted              int
 }
 
-// originLogs is what the store knows about the logs of one origin.
+// originLogs holds the index and the counters of the logs of one origin.
 type originLogs struct {
 	newest map[string]*logEntry // newest entry by key
 	epochs int                  // number of logs
-	floor  uint64               // logs of epochs below it were evicted
+	floor  uint64               // logs of epochs below this one were evicted
 }
 
 // newStore returns an empty store for a list of origins.
@@ -44,7 +44,7 @@
 	})
 }
 
-// log returns the log of an epoch; nil: there is none.
+// log returns the log of an epoch, or nil if there is none.
 func (s *store) log(origin string, epoch uint64) *epochLog {
 	if index, found := s.find(origin, epoch); found {
 		return s.sorted[index]
@@ -52,18 +52,18 @@
 	return nil
 }
 
-// admits reports whether there is a log of an epoch, or can be one.
+// admits reports whether the store has a log of an epoch, or may open one.
 func (s *store) admits(origin string, epoch uint64) bool {
 	logs := s.origins[origin]
 	if logs == nil || epoch < logs.floor {
 		return false
 	}
 	index, found := s.find(origin, epoch)
-	return found || logs.epochs < logEpochs || index > s.oldest(origin)
+	return found || logs.epochs < logEpochs || index > s.oldestLogIndex(origin)
 }
 
-// oldest returns the index in sorted of the log of an origin that is evicted first. The origin must have another log than own.
-func (s *store) oldest(origin string) int {
+// oldestLogIndex returns the index in sorted of the log of an origin that is evicted next. The origin must have a log other than own.
+func (s *store) oldestLogIndex(origin string) int {
 	index, _ := s.find(origin, 0)
 	if s.sorted[index] == s.own {
 		index++
@@ -71,7 +71,7 @@
 	return index
 }
 
-// openLog returns the log of an epoch, which must be admitted. It makes the log if there is none, and then evicts the oldest log of
+// openLog returns the log of an epoch that the store admits. It creates the log if there is none, and then evicts the oldest log of
 // the origin if there are too many.
 func (s *store) openLog(origin string, epoch uint64) *epochLog {
 	index, found := s.find(origin, epoch)
@@ -83,12 +83,12 @@
 	s.version++
 	s.origins[origin].epochs++
 	if s.origins[origin].epochs > logEpochs {
-		s.evictLog(s.sorted[s.oldest(origin)])
+		s.evictLog(s.sorted[s.oldestLogIndex(origin)])
 	}
 	return log
 }
 
-// evictLog evicts a log with all its entries. Its epoch and older ones are not admitted any more.
+// evictLog evicts a log with all its entries. From then on its epoch and older ones are not admitted.
 func (s *store) evictLog(log *epochLog) {
 	for len(log.entries) > 0 {
 		s.evictFirst(log)
@@ -98,7 +98,7 @@
 	s.dropLog(log)
 }
 
-// renameOwn gives the log of this node another epoch, which must have no log yet.
+// renameOwn changes the epoch of this node's own log. There must be no log of the new epoch yet.
 func (s *store) renameOwn(epoch uint64) {
 	index, _ := s.find(s.own.origin, s.own.epoch)
 	s.sorted = slices.Delete(s.sorted, index, index+1)
@@ -108,16 +108,16 @@
 	s.version++
 }
 
-// setHidden sets whether the log of this node is hidden from all others.
+// setHidden sets whether this node's own log is hidden from others.
 func (s *store) setHidden(hidden bool) {
 	s.hidden = hidden
 	s.version++
 }
 
-// isVisible reports whether others may know of a log.
+// isVisible reports whether a log may be shown to others.
 func (s *store) isVisible(log *epochLog) bool { return !s.hidden || log != s.own }
 
-// dropLog forgets an empty log.
+// dropLog removes an empty log.
 func (s *store) dropLog(log *epochLog) {
 	if index, found := s.find(log.origin, log.epoch); found {
 		s.sorted = slices.Delete(s.sorted, index, index+1)
@@ -126,8 +126,8 @@
 	}
 }
 
-// dropEmptyLogs forgets empty logs of epochs that are not the newest of their origin. A log whose events were evicted stays until
-// newer logs evict it, so that a subscriber that has not read the events learns that they are lost.
+// dropEmptyLogs removes empty logs of epochs that are not the newest of their origin. A log with evicted or lost events stays until
+// newer logs evict it, so that a subscriber that has not read these events is notified of the loss.
 func (s *store) dropEmptyLogs() {
 	for i := len(s.sorted) - 2; i >= 0; i-- {
 		log := s.sorted[i]
@@ -139,8 +139,8 @@
 	}
 }
 
-// add stores an event as the last one of its log, and evicts the oldest entries if there are too many. It returns false, and does
-// not store the event, if an event of a newer epoch supersedes it. Call expire before, so that no live entry is evicted in place of
+// add stores an event as the last one of its log, and evicts the oldest entries if a limit is exceeded. It returns false, and does
+// not store the event, if an event of a newer epoch supersedes it. Call expire first, so that no live entry is evicted in place of
 // an expired one.
 func (s *store) add(now time.Duration, log *epochLog, event *Event) bool {
 	logs := s.origins[log.origin]
@@ -182,7 +182,7 @@
 	}
 }
 
-// evictOldest evicts the entry that was added longest ago.
+// evictOldest evicts the entry that was added first, of all logs.
 func (s *store) evictOldest() {
 	var oldest *epochLog
 	for _, log := range s.sorted {
@@ -195,14 +195,14 @@
 	}
 }
 
-// evictFirst evicts the first entry of a log, which is live.
+// evictFirst evicts the first entry of a log. The first entry is always live.
 func (s *store) evictFirst(log *epochLog) {
 	log.floor = max(log.floor, log.entries[0].number)
 	s.evicted++
 	s.remove(log.entries[0])
 }
 
-// remove removes a live entry.
+// remove removes a live entry from the store.
 func (s *store) remove(entry *logEntry) {
 	s.entries--
 	s.bytes -= entry.size()
@@ -216,7 +216,7 @@
 	}
 }
 
-// expiryHeap is a heap of entries by expiry. It implements heap.Interface.
+// expiryHeap is a heap of entries ordered by expiry. It implements heap.Interface.
 type expiryHeap []*logEntry
 
 func (h expiryHeap) Len() int           { return len(h) }
--- a/internal/changefeed/store_test.go
+++ b/internal/changefeed/store_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestExpiry checks that an expired event moves the position, and that the age of an event is the time that it spent at all machines
-// that stored it.
+// TestExpiry checks that an expired event advances the position, and that the age of an event is the total time that it spent at the
+// machines that stored it.
 func TestExpiry(t *testing.T) {
 	a, b := New(testConfig("a", 1)), New(testConfig("b", 1))
 	out, _ := a.Publish(time.Hour, "x", 10*time.Second, nil)
@@ -19,11 +19,11 @@
 	expectEqual(t, "accepted", len(fresh), 1)
 	list := b.Next(time.Minute+5999*time.Millisecond, b.Subscribe(nil), 1000)
 	if len(list) != 1 || list[0].Age != 9999*time.Millisecond || list[0].Lifetime != 10*time.Second {
-		t.Errorf("just before its expiry: got %+v, want an age of 9.999 s of 10 s", list)
+		t.Errorf("just before its expiry: got %+v, want one event with an age of 9.999 s and a lifetime of 10 s", list)
 	}
 	list = b.Next(time.Minute+6*time.Second, b.Subscribe(nil), 1000)
 	if len(list) != 1 || list[0].Lifetime != 0 || list[0].Number != 1 || list[0].Key != "" {
-		t.Errorf("after its expiry: got %+v, want its number alone", list)
+		t.Errorf("after its expiry: got %+v, want one event that carries only its number", list)
 	}
 	reader := NewReader([]string{"a"})
 	expectEqual(t, "verdict", reader.Accept(&list[0]), Expired)
@@ -46,8 +46,8 @@
 	expectEqual(t, "expired", b.Counts().Expired, 1)
 }
 
-// TestEvictionByEntries checks that above the bound of entries the oldest entry of all origins is evicted. A subscriber that has not
-// read it learns once that events are lost.
+// TestEvictionByEntries checks that the oldest entry of all origins is evicted when there are more than MaxEntries. A subscriber that
+// has not read it is notified of the loss once.
 func TestEvictionByEntries(t *testing.T) {
 	config := testConfig("a", 1)
 	config.MaxEntries = 3
@@ -68,12 +68,12 @@
 	}
 	expectEqual(t, "reader", reader.Counts(), ReaderCounts{Accepted: 3, Expired: 1, Losses: 2})
 
-	// A subscriber that has read the evicted events misses nothing.
+	// No loss is reported to a subscriber that has read the evicted events.
 	list = a.Next(0, a.Subscribe(Vector{{"a", 1, 2}, {"b", 1, 1}}), 1000)
 	expectEqual(t, "sent", numbers(list), []string{"a 1:(2,3]", "a 1:(3,4]", "a 1:(4,5]"})
 	expectEqual(t, "lost up to", list[0].LostUpTo, uint64(0))
 
-	// Another control machine that fetches this log forwards the loss, but only to subscribers that have not read the events.
+	// Another control machine that fetches this log reports the loss too, but only to subscribers that have not read the events.
 	b := New(testConfig("b", 2))
 	b.Receive(0, &Message{Kind: Positions, From: "a", To: "b", Vector: a.Vector()})
 	out, _ := a.Receive(0, &Message{Kind: Fetch, From: "b", To: "a", Vector: Vector{{"a", 1, 0}, {"b", 1, 0}}})
@@ -84,13 +84,14 @@
 	expectEqual(t, "losses", b.Counts().Losses, 2)
 	b.Tick(0)
 	list = b.Next(0, b.Subscribe(Vector{{"a", 1, 1}}), 1000)
-	expectEqual(t, "sent on", numbers(list), []string{"a 1:(1,3]", "a 1:(3,4]", "a 1:(4,5]", "b 1:(0,1]"})
+	expectEqual(t, "forwarded", numbers(list), []string{"a 1:(1,3]", "a 1:(3,4]", "a 1:(4,5]", "b 1:(0,1]"})
 	expectEqual(t, "lost up to", []uint64{list[0].LostUpTo, list[1].LostUpTo, list[3].LostUpTo}, []uint64{2, 0, 1})
 	list = b.Next(0, b.Subscribe(Vector{{"a", 1, 2}}), 1000)
 	expectEqual(t, "lost up to", list[0].LostUpTo, uint64(0))
 }
 
-// TestEvictionByBytes checks that above the bound of bytes the oldest entries are evicted, and expired entries before live ones.
+// TestEvictionByBytes checks that the oldest entries are evicted when the log exceeds MaxBytes, and that expired entries are removed
+// before live ones are evicted.
 func TestEvictionByBytes(t *testing.T) {
 	config := testConfig("a", 1)
 	config.MaxBytes = 4 * minMaxBytes
@@ -103,9 +104,9 @@
 			t.Fatalf("got %d bytes, want at most %d", node.Counts().Bytes, config.MaxBytes)
 		}
 	}
-	expectEqual(t, "kept", node.Counts().Entries, 4)
+	expectEqual(t, "entries", node.Counts().Entries, 4)
 	expectEqual(t, "evicted", node.Counts().Evicted, 16)
-	for i := range 600 { // small entries evict large ones, one by one
+	for i := range 600 { // small entries evict the large ones one by one
 		publish(t, node, 0, fmt.Sprint("s", i))
 	}
 	if counts := node.Counts(); counts.Evicted < 18 || counts.Bytes > config.MaxBytes || counts.Entries < 600 {
@@ -119,18 +120,18 @@
 	}
 	node.Publish(2*time.Second, "new", time.Second, make([]byte, MaxPayloadBytes))
 	expectEqual(t, "evicted", node.Counts().Evicted, 0)
-	expectEqual(t, "kept", numbers(node.Next(2*time.Second, node.Subscribe(nil), 1<<30)), []string{"a 1:(0,1]", "a 1:(1,2]", "a 1:(2,5]"})
+	expectEqual(t, "stored events", numbers(node.Next(2*time.Second, node.Subscribe(nil), 1<<30)), []string{"a 1:(0,1]", "a 1:(1,2]", "a 1:(2,5]"})
 }
 
-// TestEpochsOfAnOriginAreBounded checks that the logs of logEpochs epochs of an origin are kept while they have live events. A
-// further epoch evicts the oldest log for good, but never the log that the node publishes in.
-func TestEpochsOfAnOriginAreBounded(t *testing.T) {
-	const ownEpoch = 1000 // above those of the earlier incarnations, as the node would begin another one otherwise
+// TestLogsPerOriginAreBounded checks that the logs of logEpochs epochs of an origin are kept while they have live events. One more
+// epoch evicts the oldest log permanently, but never the log of the node's present epoch.
+func TestLogsPerOriginAreBounded(t *testing.T) {
+	const ownEpoch = 1000 // above those of the earlier incarnations, so that the node does not begin another epoch
 	for _, test := range []struct {
 		name            string
 		origin          string
-		otherEpochs     uint64 // epochs that fit beside the log that the node publishes in
-		positionsAtLast int    // after all events of others have expired
+		otherEpochs     uint64 // epochs that fit in addition to that of the node
+		positionsAtLast int    // positions after all events of others have expired
 	}{
 		{name: "earlier incarnations of the node", origin: "a", otherEpochs: logEpochs - 1, positionsAtLast: 1},
 		{name: "another origin", origin: "b", otherEpochs: logEpochs, positionsAtLast: 2},
@@ -149,11 +150,11 @@
 				}
 			}
 			expectEqual(t, "evicted", node.Counts().Evicted, 0)
-			expectEqual(t, "accepted of an epoch older than all", receive(150), 0)
+			expectEqual(t, "accepted events of an epoch older than all others", receive(150), 0)
 			expectEqual(t, "old", node.Counts().Old, 1)
-			expectEqual(t, "accepted of an epoch between others", receive(203), 1)
+			expectEqual(t, "accepted events of an epoch between others", receive(203), 1)
 			expectEqual(t, "evicted", node.Counts().Evicted, 1)
-			expectEqual(t, "accepted of the evicted epoch", receive(200), 0)
+			expectEqual(t, "accepted events of the evicted epoch", receive(200), 0)
 			expectEqual(t, "old", node.Counts().Old, 2)
 			logs := 0
 			for _, log := range node.store.sorted {
@@ -173,7 +174,7 @@
 			expectEqual(t, "answers", len(out), 0)
 			expectEqual(t, "old", node.Counts().Old, 3)
 
-			// Logs whose events have all expired are dropped, but their positions stay known.
+			// Logs whose events have all expired are dropped, but the positions in them are kept.
 			node.Tick(2 * time.Minute)
 			expectEqual(t, "positions", len(node.Vector()), test.positionsAtLast)
 			expectEqual(t, "accepted again", receive(202), 0)
@@ -186,10 +187,10 @@
 	}
 }
 
-// TestOneKeySupersededRepeatedly checks that one key that is superseded again and again takes about as much memory as one event.
-func TestOneKeySupersededRepeatedly(t *testing.T) {
+// TestRepeatedlySupersededKeyMemory checks that a key whose events are superseded many times takes about as much memory as one event.
+func TestRepeatedlySupersededKeyMemory(t *testing.T) {
 	const (
-		maxLive = 3 // the first event, the last one of each key
+		maxLive = 3 // the first event, and the last one of each of two keys
 		maxSize = 2*maxLive + maxRemovedSlack
 	)
 	node := New(testConfig("a", 1))
