--- a/internal/changefeed/sim_test.go
+++ b/internal/changefeed/sim_test.go
@@ -145,7 +145,7 @@
 func (sim *simulation) observeEpoch(control *machine) {
 	before := control.epoch
 	control.epoch = control.node.Epoch()
-	if control.settled && control.epoch != before { // a director reported an earlier incarnation that no machine knew
+	if control.settled && control.epoch != before { // only a director reported an earlier incarnation
 		sim.recordRenewal(control, epochID{control.name, before})
 		return
 	}
--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -1,6 +1,6 @@
 package peer
 
-// The accept loop of a bus. It bounds the rate of accepts and goes on after errors of the listener.
+// The accept loop of a bus. It limits the rate of accepts and continues after errors of the listener.
 
 import (
 	"errors"
@@ -11,26 +11,26 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Delays after a failed accept. The delay doubles with each failure in a row.
+// Delays after a failed accept. The delay doubles with each consecutive failure.
 const (
 	minAcceptDelay = 5 * time.Millisecond
 	maxAcceptDelay = 200 * time.Millisecond
 )
 
-// acceptBurstSeconds is the burst of the accept rate, in seconds at that rate.
+// acceptBurstSeconds is the burst that the accept rate allows, in seconds at that rate.
 const acceptBurstSeconds = 0.25
 
-// acceptBackoff is the exponential backoff of an accept loop. An error of Accept must not end the loop: after a temporary one,
-// such as EMFILE, the process would never accept a connection again. It logs at most one line a second.
+// acceptBackoff is the exponential backoff of an accept loop. An error of Accept must not end the loop, because after a temporary
+// error, such as EMFILE, the process would never accept a connection again. It logs at most one line a second.
 type acceptBackoff struct {
 	delay    time.Duration // before the last retry; 0 after a successful accept
 	logLimit LogLimit
-	log      *logrus.Entry // nil: nothing is logged
+	log      *logrus.Entry // nil disables logging
 }
 
-// failed returns how long to wait after an error of Accept. The wait is 0 after an interrupted system call, and after a
-// connection that its client aborted before it was accepted.
-func (a *acceptBackoff) failed(err error) time.Duration {
+// delayAfter returns the delay before the next accept after an error of Accept. The delay is 0 after an interrupted system call, and
+// after a connection that the client aborted before it was accepted.
+func (a *acceptBackoff) delayAfter(err error) time.Duration {
 	if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) {
 		return 0
 	}
@@ -39,17 +39,17 @@
 	} else {
 		a.delay = min(2*a.delay, maxAcceptDelay)
 	}
-	if errors.Is(err, net.ErrClosed) { // the end of the loop, no fault
+	if errors.Is(err, net.ErrClosed) { // the loop is about to end, which is not a fault
 		return a.delay
 	}
 	if skipped, ok := a.logLimit.Pass(time.Now()); ok && a.log != nil {
-		a.log.WithError(err).WithField("skipped", skipped).Warn("peer: no connection can be accepted")
+		a.log.WithError(err).WithField("skipped", skipped).Warn("peer: cannot accept connections")
 	}
 	return a.delay
 }
 
-// succeeded resets the backoff.
-func (a *acceptBackoff) succeeded() { a.delay = 0 }
+// reset resets the backoff.
+func (a *acceptBackoff) reset() { a.delay = 0 }
 
 // accept accepts connections at the accept rate until Close.
 func (b *Bus) accept() {
@@ -61,19 +61,19 @@
 		}
 		socket, err := b.listener.Accept()
 		if err != nil {
-			if !b.pause(backoff.failed(err)) {
+			if !b.pause(backoff.delayAfter(err)) {
 				return
 			}
 			continue
 		}
-		backoff.succeeded()
+		backoff.reset()
 		if !b.startInbound(socket) {
 			return
 		}
 	}
 }
 
-// pause waits for a delay, or until Close. It returns false if the bus is closing.
+// pause waits until a delay has passed or Close is called. It returns false if the bus is closing.
 func (b *Bus) pause(delay time.Duration) bool {
 	select {
 	case <-b.stop:
@@ -91,9 +91,9 @@
 	}
 }
 
-// startInbound serves a connection in a goroutine of its own. If more than maxUnidentified connections have sent no hello, it
-// closes the oldest of them, which guards against clients that connect and send nothing. It returns false if the bus is closing;
-// the connection is closed then.
+// startInbound serves a connection in a new goroutine. If more than maxUnidentified connections have sent no hello, it closes the
+// oldest of them. This guards against clients that connect and send nothing. If the bus is closing, it closes the connection and
+// returns false.
 func (b *Bus) startInbound(socket net.Conn) bool {
 	connection := &inbound{bus: b, socket: socket}
 	b.mu.Lock()
--- a/internal/peer/bus.go
+++ b/internal/peer/bus.go
@@ -1,19 +1,19 @@
 // Package peer is the transport between directors over TCP. It carries short messages, each with a topic, from any instance that
-// the operator file lists to any other, in frames of bounded length. It does not know what the messages mean.
+// the operator file lists to any other, in frames of limited length. It does not interpret the messages.
 //
 // Each instance dials every other one. It writes its own messages on the connections that it dialled, and receives messages on
 // the connections that the others dialled. Delivery is not guaranteed: a message is lost if the connection is down for long, if
 // the queue is full or if either end restarts. A sender that needs delivery must send the message again. A message may be late,
-// but it never passes between incarnations that it was not meant for: every frame carries the incarnations of both ends.
+// but it is never delivered to an incarnation that it was not meant for: every frame carries the incarnations of both ends.
 //
 // The instances of a bus are its peers. A bus may also have subscribers: any number of listed names that dial it, send little
 // and receive the messages of a Publisher. Uplinks is the subscriber's side: links to two of the instances that publish. Any
-// program may send a request and get one response, on a connection of its own: see Query.
+// program may send a request and get one response, each on a separate connection: see Query.
 //
-// A connection that misbehaves costs this process a bounded amount of memory, processor time and log, and does not delay the
-// others: see the constants in options.go and subscriber.go.
+// A connection that misbehaves uses a limited amount of this process's memory, processor time and log, and does not delay other
+// connections: see the constants in options.go and subscriber.go.
 //
-// There is no TLS and no authentication: a name in a hello is taken as true. The package is for closed networks only.
+// There is no TLS and no authentication: the name in a hello is trusted. The package is for closed networks only.
 package peer
 
 import (
@@ -29,7 +29,7 @@
 type Bus struct {
 	options    Options
 	listener   net.Listener
-	start      time.Time     // pings carry the time since then, by the monotonic clock
+	start      time.Time     // pings carry the time since the start, by the monotonic clock
 	stop       chan struct{} // closed by Close
 	goroutines sync.WaitGroup
 
@@ -39,14 +39,14 @@
 
 	mu                sync.Mutex            // locked before that of a link and before that of the subscribers
 	links             map[string]*link      // to the other instances, by name
-	knownIncarnations map[string]uint64     // the highest known incarnation, by name; of names that are or were listed
+	knownIncarnations map[string]uint64     // highest known incarnation, by name of each peer that is or was listed
 	inboundByName     map[string][]*inbound // connections that peers dialled, oldest first
 	unidentified      []*inbound            // connections without a hello yet, oldest first
 	counts            Counts
-	rejectionLog      LogLimit // for names that are not listed
+	rejectionLog      LogLimit // limits the log lines about names that are not listed
 }
 
-// Open listens and starts to dial the peers. The error is that of opening the listener.
+// Open opens the listener and starts to dial the peers. It returns an error if the listener cannot be opened.
 func Open(o Options) (*Bus, error) {
 	if o.OpenListener == nil {
 		o.OpenListener = net.Listen
@@ -72,7 +72,7 @@
 	return b, nil
 }
 
-// Close ends every connection and waits for all goroutines. It must be called exactly once.
+// Close closes every connection and waits for all goroutines. It must be called exactly once.
 func (b *Bus) Close() {
 	close(b.stop)
 	b.listener.Close()
@@ -94,10 +94,10 @@
 // Addr returns the address that the bus listens at.
 func (b *Bus) Addr() string { return b.listener.Addr().String() }
 
-// Incarnation returns the present incarnation of this instance. It is raised when another instance turns out to know a higher one.
+// Incarnation returns the present incarnation of this instance. It is raised when another instance reports a higher one for its name.
 func (b *Bus) Incarnation() uint64 { return b.incarnation.Load() }
 
-// SetPeers replaces the addresses of the other instances, by name. Links to addresses that stay are kept.
+// SetPeers replaces the addresses of the other instances, by name. Links to unchanged addresses are kept.
 func (b *Bus) SetPeers(peers map[string]string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,7 +113,7 @@
 	}
 }
 
-// endLinksExcept ends the links to peers that are not listed, or are listed at another address. Called under the lock.
+// endLinksExcept ends the links to peers that are not in the list, or are listed with another address. Called under the lock.
 func (b *Bus) endLinksExcept(peers map[string]string) {
 	for name, peerLink := range b.links {
 		if peers[name] != peerLink.addr {
@@ -123,7 +123,7 @@
 	}
 }
 
-// closeInboundsExcept closes the connections that were dialled by peers that are not listed any more. Called under the lock.
+// closeInboundsExcept closes the connections that were dialled by peers that are no longer listed. Called under the lock.
 func (b *Bus) closeInboundsExcept(peers map[string]string) {
 	for name, connections := range b.inboundByName {
 		if _, listed := peers[name]; listed {
--- a/internal/peer/clock_test.go
+++ b/internal/peer/clock_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// fixedClock is a wall clock that stands still.
+// fixedClock returns a wall clock that always shows the same time.
 func fixedClock(t time.Time) func() time.Time { return func() time.Time { return t } }
 
-// openBusAt is openBus with a wall clock.
-func openBusAt(t *testing.T, name, listen string, peers map[string]string, received *receivedMessages, wallClock func() time.Time) *Bus {
+// openBusWithClock is like openBus, with the given wall clock.
+func openBusWithClock(t *testing.T, name, listen string, peers map[string]string, received *receivedMessages, wallClock func() time.Time) *Bus {
 	t.Helper()
 	return mustOpen(t, Options{
 		Name:          name,
@@ -26,8 +26,8 @@
 	})
 }
 
-// exchangeMessages sends messages between buses a and b until one has arrived each way. It sends them again and again: a message
-// that waits for an earlier incarnation of its receiver is dropped. It fails the test after the longest time that a restart may
+// exchangeMessages sends messages between buses a and b until one has arrived each way. It sends them repeatedly, because a message
+// that was queued for an earlier incarnation of its receiver is dropped. It fails the test after the longest time that a restart may
 // take.
 func exchangeMessages(t *testing.T, a, b *Bus, receivedAtA, receivedAtB *receivedMessages, text string) {
 	t.Helper()
@@ -40,24 +40,25 @@
 			return
 		}
 		if took := time.Since(began); took > limit {
-			t.Fatalf("%s: no messages both ways after %v: %+v, %+v", text, took, a.Status(), b.Status())
+			t.Fatalf("%s: got no messages both ways after %v: %+v, %+v", text, took, a.Status(), b.Status())
 		}
 	}
 }
 
 // An instance is restarted with its wall clock an hour ahead, set back, at the same millisecond as before and an hour behind. After
-// each restart it exchanges messages within the time that any restart takes, and its incarnation is higher than before.
-func TestRestartsAfterSteps(t *testing.T) {
+// each restart it must exchange messages within the longest time that a restart may take, and its incarnation must be higher than
+// before.
+func TestRestartsWithSteppedWallClock(t *testing.T) {
 	now := time.Now()
 	var receivedAtA receivedMessages
 	addrOfB := freeAddress(t)
-	a := openBusAt(t, "a", "127.0.0.1:0", map[string]string{"b": addrOfB}, &receivedAtA, fixedClock(now))
+	a := openBusWithClock(t, "a", "127.0.0.1:0", map[string]string{"b": addrOfB}, &receivedAtA, fixedClock(now))
 	defer a.Close()
 	lastIncarnation := uint64(0)
 	wallClocks := []time.Time{now, now.Add(time.Hour), now, now, now.Add(-time.Hour), now.Add(-time.Hour), now}
 	for i, wall := range wallClocks {
 		var receivedAtB receivedMessages
-		b := openBusAt(t, "b", addrOfB, map[string]string{"a": a.Addr()}, &receivedAtB, fixedClock(wall))
+		b := openBusWithClock(t, "b", addrOfB, map[string]string{"a": a.Addr()}, &receivedAtB, fixedClock(wall))
 		exchangeMessages(t, a, b, &receivedAtA, &receivedAtB, fmt.Sprint("restart ", i))
 		if got := b.Incarnation(); got <= lastIncarnation {
 			t.Errorf("restart %d: got incarnation %x, want one above %x", i, got, lastIncarnation)
@@ -67,7 +68,7 @@
 	}
 }
 
-// Instances that start in the same millisecond have different incarnations, also in the same process.
+// Incarnations that are created in the same millisecond must differ, also within one process.
 func TestIncarnationsOfOneMillisecondDiffer(t *testing.T) {
 	wall := fixedClock(time.Now())
 	seen := map[uint64]bool{}
@@ -75,12 +76,12 @@
 		seen[newIncarnation(wall)] = true
 	}
 	if len(seen) < 32 {
-		t.Errorf("got %d different incarnations of 64, want 32 at least", len(seen))
+		t.Errorf("got %d different incarnations of 64, want at least 32", len(seen))
 	}
 }
 
-// answerPings accepts the hello of a connection as a peer and answers its pings until another frame comes or the connection ends.
-// It sends the numbers of the pings on a channel, unless that is full.
+// answerPings accepts the hello of a connection as a peer and answers its pings until a frame of another kind arrives or the
+// connection ends. It sends the numbers of the pings on a channel, unless the channel is full.
 func answerPings(connection net.Conn, name string, numbers chan<- uint64) {
 	defer connection.Close()
 	in := bufio.NewReader(connection)
@@ -102,13 +103,14 @@
 	}
 }
 
-// A ping carries the time since the start by the monotonic clock: a step of the wall clock neither hides nor invents a round trip.
+// A ping must carry the time since the start by the monotonic clock, so that a step of the wall clock does not falsify the round trip
+// time.
 func TestPingsCarryMonotonicTime(t *testing.T) {
 	opened := time.Now()
 	numbers := make(chan uint64, 1)
 	addr := serveConnections(t, func(connection net.Conn) { answerPings(connection, "b", numbers) })
 	var received receivedMessages
-	a := openBusAt(t, "a", "127.0.0.1:0", map[string]string{"b": addr}, &received, nil)
+	a := openBusWithClock(t, "a", "127.0.0.1:0", map[string]string{"b": addr}, &received, nil)
 	defer a.Close()
 	select {
 	case number := <-numbers:
@@ -116,17 +118,17 @@
 			t.Errorf("got a ping with the number %d, want one from 1 to %d", number, since)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("no ping")
+		t.Fatal("got no ping within 5 s")
 	}
-	eventually(t, "the round trip is known", func() bool {
+	eventually(t, "the round trip time is known", func() bool {
 		rtt := a.Status().Links[0].RTT
 		return rtt > 0 && rtt < 5000
 	})
 }
 
-// A director whose clock went back is accepted at its first dial of each control machine. It sends its hello again under a higher
-// incarnation, which does not count as a failed dial.
-func TestUplinkRaisedIsNoFailedDial(t *testing.T) {
+// A director whose clock went back must be accepted at its first dial of each control machine. It sends its hello again with a higher
+// incarnation, which must not count as a failed dial.
+func TestRaisedIncarnationIsNotFailedDial(t *testing.T) {
 	now := time.Now()
 	a, _ := openControlMachine(t, "a", nil)
 	defer a.Close()
@@ -138,7 +140,7 @@
 		options := uplinkOptions("d", "north", &directorMessages{}, control...)
 		options.Place, options.WallClock = control[0].Place, fixedClock(wall)
 		uplinks := OpenUplinks(options)
-		eventually(t, "both up", func() bool { return uplinks.Status().Up == 2 })
+		eventually(t, "both links are up", func() bool { return uplinks.Status().Up == 2 })
 		if status := uplinks.Status(); status.Choice.Failed > 0 {
 			t.Errorf("restart %d: got %+v, want no failed dial", i, status.Choice)
 		}
--- a/internal/peer/dial.go
+++ b/internal/peer/dial.go
@@ -1,6 +1,6 @@
 package peer
 
-// What links and uplinks share for dialling: the dial function, the errors of this host and the redial backoff.
+// Helpers for dialling that links and uplinks share: the dial function, the local errors and the redial backoff.
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 // dialFunc connects to an address, like net.Dialer.DialContext.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dialOrDefault returns the given dial function, or that of net.Dialer for nil.
+// dialOrDefault returns the given dial function, or that of net.Dialer if it is nil.
 func dialOrDefault(dial dialFunc) dialFunc {
 	if dial == nil {
 		return (&net.Dialer{}).DialContext
@@ -22,8 +22,8 @@
 	return dial
 }
 
-// localErrors are temporary errors of system calls that have their cause on this host: no descriptors, memory, ports or route, or
-// a firewall rule. They say nothing about the other side.
+// localErrors are temporary errors of system calls whose cause is on this host: no free descriptors, memory or ports, no route, or a
+// firewall rule. They do not indicate a fault of the other side.
 var localErrors = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -34,7 +34,7 @@
 	syscall.EPERM,
 }
 
-// isLocalError reports whether an error has its cause on this host.
+// isLocalError reports whether the cause of an error is on this host.
 func isLocalError(err error) bool {
 	for _, local := range localErrors {
 		if errors.Is(err, local) {
@@ -44,5 +44,5 @@
 	return false
 }
 
-// randomBackoff returns a random duration between half of the backoff and all of it, so that instances do not dial in step.
+// randomBackoff returns a random duration between half of the backoff and the full backoff, so that instances do not dial in step.
 func randomBackoff(backoff time.Duration) time.Duration { return backoff/2 + rand.N(backoff/2+1) }
--- a/internal/peer/dial_test.go
+++ b/internal/peer/dial_test.go
@@ -14,9 +14,9 @@
 
 // faultyDial is a dial function that fails while fault is set.
 type faultyDial struct {
-	next  dialFunc // dials while fault is unset; nil: the system's
+	next  dialFunc // dial function used while fault is unset; nil means net.Dialer
 	fault atomic.Pointer[error]
-	calls atomic.Int64 // dials, failed ones included
+	calls atomic.Int64 // dials, including failed ones
 }
 
 func (d *faultyDial) dial(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -27,7 +27,7 @@
 	return dialOrDefault(d.next)(ctx, network, addr)
 }
 
-// dialFaults are local errors of a dial.
+// dialFaults are errors of a dial whose cause is on this host.
 var dialFaults = []error{
 	syscall.EMFILE,
 	syscall.ENFILE,
@@ -38,9 +38,9 @@
 	syscall.EPERM,
 }
 
-// dialsUnderFault returns how many times a link dials within a span while all dials fail with an error. It checks that the link is
-// up once the error is over. It must run in a synctest bubble.
-func dialsUnderFault(t *testing.T, fault error, span time.Duration) int64 {
+// countDialsDuringFault returns how many times a link dials in a span while all dials fail with an error. It checks that the link comes
+// up after the error ended. It must run in a synctest bubble.
+func countDialsDuringFault(t *testing.T, fault error, span time.Duration) int64 {
 	t.Helper()
 	network := pipeNetwork{}
 	dialer := faultyDial{next: network.dial}
@@ -62,31 +62,31 @@
 	time.Sleep(span)
 	dials := dialer.calls.Load()
 	dialer.fault.Store(nil)
-	eventually(t, "up after "+fault.Error(), func() bool { return a.Status().Links[0].State == "up" })
+	eventually(t, "link is up after "+fault.Error(), func() bool { return a.Status().Links[0].State == "up" })
 	return dials
 }
 
-// Local errors do not lengthen a link's backoff, so that it is up at once when they are over. Errors that the peer may have caused
-// do. All times are by the clock of a synctest bubble; each pause is half to all of the backoff.
-func TestLinkDialsOnUnderLocalFaults(t *testing.T) {
+// Local errors must not lengthen a link's backoff, so that the link comes up soon after they end. Errors that the peer may have caused
+// must lengthen it. All times are by the clock of a synctest bubble. Each pause is random, from half of the backoff to all of it.
+func TestLocalDialErrorsDoNotLengthenBackoff(t *testing.T) {
 	const span = 1500 * time.Millisecond
 	for _, fault := range dialFaults {
 		synctest.Test(t, func(t *testing.T) {
-			const least, most = int64(span / minRedialBackoff), int64(2*span/minRedialBackoff) + 1
-			if dials := dialsUnderFault(t, fault, span); dials < least || dials > most {
-				t.Errorf("%v: got %d dials in %v, want %d to %d", fault, dials, span, least, most)
+			const minDials, maxDials = int64(span / minRedialBackoff), int64(2*span/minRedialBackoff) + 1
+			if dials := countDialsDuringFault(t, fault, span); dials < minDials || dials > maxDials {
+				t.Errorf("%v: got %d dials in %v, want %d to %d", fault, dials, span, minDials, maxDials)
 			}
 		})
 	}
 	synctest.Test(t, func(t *testing.T) {
-		const most = 7 // after half of 50, 100, 200, 400, 800 and 1000 ms
-		if dials := dialsUnderFault(t, syscall.ECONNREFUSED, span); dials > most {
-			t.Errorf("refused: got %d dials in %v, want %d at most", dials, span, most)
+		const maxDials = 7 // with pauses of half of 50, 100, 200, 400, 800 and 1000 ms
+		if dials := countDialsDuringFault(t, syscall.ECONNREFUSED, span); dials > maxDials {
+			t.Errorf("connection refused: got %d dials in %v, want at most %d", dials, span, maxDials)
 		}
 	})
 }
 
-// isLocalError tells errors of this host from those that the other side may have caused.
+// isLocalError must distinguish errors of this host from those that the other side may have caused.
 func TestIsLocalError(t *testing.T) {
 	for _, fault := range dialFaults {
 		if !isLocalError(&net.OpError{Op: "dial", Err: os.NewSyscallError("connect", fault)}) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// A local error that is over within the dial timeout does not count as a failed dial of the control machine.
-func TestUplinkLocalFaultIsNoFailedDial(t *testing.T) {
+// A local error that ends within the dial timeout must not count as a failed dial of the control machine.
+func TestLocalDialErrorIsNotFailedDial(t *testing.T) {
 	for _, fault := range dialFaults {
 		control, _ := openControlMachine(t, "a", nil)
 		var dialer faultyDial
@@ -110,9 +110,9 @@
 		options := uplinkOptions("d", "north", &messages, controlMachine("north", "north1", "a", control.Addr()))
 		options.Dial = dialer.dial
 		uplinks := OpenUplinks(options)
-		eventually(t, "dials again", func() bool { return dialer.calls.Load() >= 3 })
+		eventually(t, "the dial is retried", func() bool { return dialer.calls.Load() >= 3 })
 		dialer.fault.Store(nil)
-		eventually(t, "up", func() bool { return uplinks.Status().Up == 1 })
+		eventually(t, "the link is up", func() bool { return uplinks.Status().Up == 1 })
 		if status := uplinks.Status(); status.Choice.Failed > 0 || status.Links[0].Dials != 1 {
 			t.Errorf("%v: got %+v, want one dial that did not fail", fault, status)
 		}
--- a/internal/peer/frame_bench_test.go
+++ b/internal/peer/frame_bench_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// dataFrameOf returns a data frame with so many bytes of payload, and the frame encoded.
+// dataFrameOf returns a data frame with a payload of the given size, and the encoded frame.
 func dataFrameOf(payloadBytes int) (f dataFrame, encoded []byte) {
 	f = dataFrame{sender: 1764576000000, receiver: 1764576000001, topic: "stream", payload: bytes.Repeat([]byte{0xa5}, payloadBytes)}
 	return f, f.appendTo(nil)
 }
 
-// payloadSizes are the payloads that the benchmarks measure, in bytes.
+// payloadSizes are the sizes of payloads for which the benchmarks run, in bytes.
 var payloadSizes = []int{60, 2000, 5000, 10000, 20000}
 
 // BenchmarkScaleFrameWrite encodes a data frame into a buffer that is reused.
@@ -27,7 +27,7 @@
 				buffer = f.appendTo(buffer[:0])
 			}
 			if !bytes.Equal(buffer, encoded) {
-				b.Fatalf("got %d bytes that differ from the %d of the first time", len(buffer), len(encoded))
+				b.Fatalf("got %d bytes that differ from the %d bytes of the first encoding", len(buffer), len(encoded))
 			}
 			b.ReportMetric(float64(len(buffer)), "B/msg")
 		})
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -1,6 +1,6 @@
 package peer
 
-// Connections that the other side dialled: the first frame decides whether one is a request, a peer or a subscriber. Subscribers
+// Connections that the other side dialled. The first frame determines whether it is a request, a peer or a subscriber. Subscribers
 // are served in subscriber.go.
 
 import (
@@ -17,7 +17,7 @@
 type inboundState uint8
 
 const (
-	inboundUnidentified inboundState = iota // no hello was accepted yet
+	inboundUnidentified inboundState = iota // no hello has been accepted yet
 	inboundPeer                             // a hello of a peer was accepted
 	inboundSubscriber                       // a hello of a subscriber was accepted; a Subscriber serves it
 	inboundClosed
@@ -31,8 +31,8 @@
 	sender Sender       // set before the state becomes inboundPeer
 }
 
-// setState is the only function that changes the state. It keeps the lists of the bus in step with it. A closed connection stays
-// closed. Called under the lock of the bus.
+// setState changes the state and updates the lists of the bus accordingly. No other function changes the state. A closed connection
+// stays closed. Called under the lock of the bus.
 func (c *inbound) setState(to inboundState) {
 	if c.state == inboundClosed {
 		return
@@ -53,12 +53,12 @@
 	}
 }
 
-// removedFrom returns a list without this connection. It changes the list in place.
+// removedFrom removes this connection from a list in place, and returns the list.
 func (c *inbound) removedFrom(connections []*inbound) []*inbound {
 	return slices.DeleteFunc(connections, func(other *inbound) bool { return other == c })
 }
 
-// close ends the connection. It takes the lock of the bus.
+// close closes the connection. It takes the lock of the bus.
 func (c *inbound) close() {
 	c.bus.mu.Lock()
 	defer c.bus.mu.Unlock()
@@ -75,7 +75,7 @@
 }
 
 // run serves the connection until it ends or the other side sends a frame that is not accepted. If the first frame is not
-// complete within helloTimeout it closes the connection, which guards against clients that connect and send nothing.
+// complete within helloTimeout, run closes the connection. This guards against clients that connect and send nothing.
 func (c *inbound) run() {
 	defer c.close()
 	in := bufio.NewReader(c.socket)
@@ -96,7 +96,7 @@
 	}
 }
 
-// serve serves a connection that began with a hello: as a subscriber's if its name may subscribe, otherwise as a peer's.
+// serve serves a connection that began with a hello: as a subscriber if the name in the hello may subscribe, otherwise as a peer.
 func (c *inbound) serve(hello helloFrame, in *bufio.Reader) {
 	if c.serveSubscriber(hello, in) {
 		return
@@ -120,8 +120,9 @@
 	}
 }
 
-// handleHello decides on the hello of a peer and answers it with this instance's own. A sender that is rejected learns from the
-// answer which incarnation of it is known here. It returns false if the hello was rejected or the answer could not be written.
+// handleHello accepts or rejects the hello of a peer and answers with this instance's own hello. The answer includes the highest
+// incarnation known of the sender, also when it is rejected. It returns false if the hello was rejected or the answer could not be
+// written.
 func (c *inbound) handleHello(hello helloFrame) (accepted bool) {
 	b := c.bus
 	b.mu.Lock()
@@ -144,8 +145,8 @@
 	return c.writeHello(b.Incarnation(), known) == nil && accepted
 }
 
-// becomePeer makes this a connection of a peer. It closes the connections of the peer's earlier incarnations, and the peer's
-// oldest connection if it has more than maxConnectionsPerPeer. Called under the lock of the bus.
+// becomePeer registers this connection as one of a peer. It closes the connections of the peer's earlier incarnations, and the
+// peer's oldest connection if there are more than maxConnectionsPerPeer. Called under the lock of the bus.
 func (c *inbound) becomePeer(sender Sender) {
 	b := c.bus
 	b.knownIncarnations[sender.Name] = sender.Incarnation
@@ -162,7 +163,7 @@
 	}
 }
 
-// writeHello writes this instance's own hello, with the highest incarnation known of the other side; 0: none.
+// writeHello writes this instance's own hello, with the highest incarnation known of the other side, or 0 if none is known.
 func (c *inbound) writeHello(incarnation, known uint64) error {
 	hello := helloFrame{version: protocolVersion, name: c.bus.options.Name, sender: incarnation, receiver: known}
 	c.socket.SetWriteDeadline(time.Now().Add(helloTimeout))
@@ -170,8 +171,8 @@
 	return err
 }
 
-// rejectUnlisted counts and logs a hello under a name that is not listed. The log limit guards against a program that dials in
-// a loop.
+// rejectUnlisted counts and logs a hello with a name that is not listed. The log limit guards against a program that dials in a
+// loop.
 func (b *Bus) rejectUnlisted(name string, addr net.Addr) {
 	if b.options.Publisher != nil {
 		b.subscribers.count(func(n *SubscribersStatus) { n.Rejected++ })
@@ -181,7 +182,7 @@
 	b.mu.Unlock()
 	if ok {
 		log := b.options.Log.WithFields(logrus.Fields{"peer": name, "addr": addr, "skipped": skipped})
-		log.Warn("peer: a name that is not listed is refused")
+		log.Warn("peer: rejected a hello with a name that is not listed")
 	}
 }
 
@@ -206,8 +207,8 @@
 	return err
 }
 
-// handleData passes a message to the handler of its topic. It returns false if the message is from or to another incarnation: so
-// would be all later ones of this connection.
+// handleData passes a message to the handler of its topic. It returns false if the message is from or to another incarnation. Then all
+// later messages of this connection would be so too.
 func (c *inbound) handleData(data dataFrame) (current bool) {
 	b := c.bus
 	handle := b.options.Handlers[data.topic]
@@ -226,8 +227,8 @@
 	return current
 }
 
-// isCurrent reports whether a message is from the latest known incarnation of the peer, and meant for this instance's present
-// one. Called under the lock of the bus.
+// isCurrent reports whether a message is from the latest known incarnation of the peer, and meant for the present incarnation of
+// this instance. Called under the lock of the bus.
 func (c *inbound) isCurrent(data dataFrame) bool {
 	fromLatest := data.sender == c.sender.Incarnation && data.sender >= c.bus.knownIncarnations[c.sender.Name]
 	return fromLatest && data.isFor(c.bus.Incarnation())
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,40 +14,40 @@
 	payload []byte
 }
 
-// queuedBytes returns how much of maxQueuedBytes the message takes.
+// queuedBytes returns the number of bytes that the message counts towards maxQueuedBytes.
 func (m message) queuedBytes() int { return len(m.payload) + maxFrameOverhead }
 
 // linkState is the state of a link to a peer.
 type linkState uint8
 
 const (
-	linkWaiting  linkState = iota // waits for the next dial, or dials
+	linkWaiting  linkState = iota // waiting for the next dial, or dialling
 	linkDialling                  // connected; the peer has not answered the hello yet
 	linkUp
-	linkRejected // as linkWaiting, after a rejected hello: the peer does not list this instance, or knows a later incarnation of it
+	linkRejected // like linkWaiting, after a rejected hello: the peer does not list this instance, or knows a later incarnation of it
 	linkEnded
 )
 
 // linkStateNames has the states as LinkStatus shows them. They are part of the JSON output and must not change.
 var linkStateNames = [...]string{"waiting", "dialling", "up", "refused", "ended"}
 
-// link is the connection to one peer, with a bounded queue of messages. One goroutine dials and writes, and dials again whenever
-// the connection fails; another reads pongs while the link is up.
+// link is the connection to one peer, with a queue of limited size. One goroutine dials and writes, and redials whenever the
+// connection fails. Another goroutine reads pongs while the link is up.
 type link struct {
 	bus  *Bus
 	name string
 	addr string
-	wake chan struct{} // holds an element while messages may be waiting
-	done chan struct{} // closed in linkEnded
+	wake chan struct{} // has an element while messages may be queued
+	done chan struct{} // closed when the state becomes linkEnded
 
 	mu              sync.Mutex
 	state           linkState
 	socket          net.Conn // nil unless connected
 	queue           []message
 	queuedBytes     int
-	peerIncarnation uint64        // of the peer's last hello; 0: none yet
-	lastFrame       time.Time     // when the last frame of the peer came
-	rtt             time.Duration // of the last ping; 0: not known
+	peerIncarnation uint64        // incarnation in the peer's last hello; 0 before the first one
+	lastFrame       time.Time     // when the last frame of the peer was received
+	rtt             time.Duration // round trip time of the last ping; 0 if not known
 	sent            int           // messages
 	writtenBytes    int64
 	dropped         int // messages
@@ -76,8 +76,8 @@
 	}
 }
 
-// setState is the only function that changes the state. The socket is that of linkDialling, and nil for all other states. An
-// ended link stays ended. It returns whether the link is in the state now.
+// setState changes the state. No other function does. The socket must be given for linkDialling, and nil for all other states. An
+// ended link stays ended. It reports whether the link is in the requested state.
 func (l *link) setState(to linkState, socket net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,11 +106,11 @@
 	l.socket = nil
 }
 
-// end ends the link for good and drops its queue.
+// end ends the link permanently and drops its queue.
 func (l *link) end() { l.setState(linkEnded, nil) }
 
-// enqueue queues a message. Above maxQueuedMessages or maxQueuedBytes it drops the oldest messages: newer ones are worth more, and
-// a peer that does not read must not fill this process's memory.
+// enqueue queues a message. Above maxQueuedMessages or maxQueuedBytes it drops the oldest messages: newer messages are more useful,
+// and a peer that does not read must not exhaust this process's memory.
 func (l *link) enqueue(m message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +146,7 @@
 	return oldest
 }
 
-// wakeWriter makes the writer look at the queue. It never blocks.
+// wakeWriter signals the writer that messages may be queued. It never blocks.
 func (l *link) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
@@ -165,7 +165,7 @@
 	l.peerIncarnation, l.lastFrame = incarnation, time.Now()
 }
 
-// pongReceived records a pong and its round trip time. An rtt below 0 means that the pong answers no ping of this instance.
+// pongReceived records a pong and its round trip time. A negative rtt means that the pong does not match a ping of this instance.
 func (l *link) pongReceived(rtt time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,8 +175,8 @@
 	}
 }
 
-// silent reports whether no frame of the peer came for silenceTimeout.
-func (l *link) silent() bool {
+// isSilent reports whether no frame of the peer was received for silenceTimeout.
+func (l *link) isSilent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(l.lastFrame) > silenceTimeout
--- a/internal/peer/linkconn.go
+++ b/internal/peer/linkconn.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// writeBatchBytes ends a batch of messages: one write gets no further message once it has so many bytes.
+// writeBatchBytes limits a batch of messages: no further message is added to a write that has at least this many bytes.
 const writeBatchBytes = 32 << 10
 
 // run dials and writes until the link ends, with an exponential backoff between dials.
@@ -18,7 +18,7 @@
 	for {
 		began := time.Now()
 		err := l.runOnce()
-		if time.Since(began) > maxRedialBackoff { // the connection lasted for a while
+		if time.Since(began) > maxRedialBackoff { // the connection was up for some time
 			backoff = minRedialBackoff
 		}
 		select {
@@ -26,13 +26,13 @@
 			return
 		case <-time.After(randomBackoff(backoff)):
 		}
-		if !isLocalError(err) { // a local error is no reason to dial the peer less often
+		if !isLocalError(err) { // a local error is not a reason to dial the peer less often
 			backoff = min(2*backoff, maxRedialBackoff)
 		}
 	}
 }
 
-// runOnce dials, exchanges hellos and writes until the connection fails. The error is that of the dial; it is nil once connected.
+// runOnce dials, exchanges hellos and writes until the connection fails. It returns an error only if the dial failed.
 func (l *link) runOnce() error {
 	l.mu.Lock()
 	l.dials++
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// exchangeHello writes this instance's hello, reads the answer and returns the peer's incarnation. It returns false if there is no
-// answer that accepts this instance, or the link has ended.
+// exchangeHello writes this instance's hello, reads the answer and returns the peer's incarnation. It returns false if no answer
+// accepts this instance, or if the link has ended.
 func (l *link) exchangeHello(socket net.Conn, in *bufio.Reader, incarnation uint64) (peerIncarnation uint64, ok bool) {
 	socket.SetDeadline(time.Now().Add(helloTimeout))
 	hello := helloFrame{version: protocolVersion, name: l.bus.options.Name, sender: incarnation}
@@ -70,7 +70,7 @@
 		l.setState(linkWaiting, nil)
 		return 0, false
 	}
-	if answer.receiver != incarnation { // not listed there, or known in a later incarnation
+	if answer.receiver != incarnation { // the peer does not list this instance, or knows a later incarnation of it
 		l.setState(linkRejected, nil)
 		l.bus.raiseIncarnation(answer.receiver)
 		return 0, false
@@ -96,8 +96,8 @@
 	return answer, nil
 }
 
-// write sends messages and pings until the connection fails, no frame comes for silenceTimeout or the link ends. The envelope is
-// a data frame with the incarnations of both ends.
+// write sends messages and pings until the connection fails, no frame is received for silenceTimeout, or the link ends. The envelope
+// is a data frame with the incarnations of both ends, without topic and payload.
 func (l *link) write(socket net.Conn, envelope dataFrame) {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
@@ -108,7 +108,7 @@
 		case <-l.done:
 			return
 		case <-ticker.C:
-			if l.silent() {
+			if l.isSilent() {
 				discardUnsent(socket)
 				return
 			}
@@ -126,7 +126,7 @@
 	}
 }
 
-// send writes bytes within silenceTimeout and counts those written.
+// send writes bytes within silenceTimeout and counts the bytes written.
 func (l *link) send(socket net.Conn, b []byte) error {
 	socket.SetWriteDeadline(time.Now().Add(silenceTimeout))
 	written, err := socket.Write(b)
@@ -136,8 +136,8 @@
 	return err
 }
 
-// appendQueued appends queued messages up to writeBatchBytes. If that ends the batch it wakes the writer again, so that a ping
-// can be sent between two batches.
+// appendQueued appends queued messages until the buffer has writeBatchBytes or the queue is empty. If messages may be left, it
+// signals the writer again, so that a ping can be sent between two batches.
 func (l *link) appendQueued(buffer []byte, envelope dataFrame) []byte {
 	for len(buffer) < writeBatchBytes {
 		next, ok := l.dequeue()
@@ -151,19 +151,19 @@
 	return buffer
 }
 
-// discardUnsent makes the kernel drop unsent bytes when the connection is closed: messages must not arrive after the link was
-// closed for silence.
+// discardUnsent makes the kernel drop unsent bytes when the connection is closed, because messages must not arrive after the link
+// was closed for silence.
 func discardUnsent(socket net.Conn) {
 	if tcp, ok := socket.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 }
 
-// pingNumber returns the number of a ping that is sent now: the time since the start in nanoseconds, never 0. The pong repeats it,
-// so it gives the round trip time.
+// pingNumber returns the number of a ping that is sent now: the time since the start in nanoseconds, at least 1. The pong repeats the
+// number, from which roundTrip computes the round trip time.
 func pingNumber(sinceStart time.Duration) uint64 { return uint64(max(1, sinceStart)) }
 
-// roundTrip returns the time since the ping of a number was sent. A result below 0 means that no ping of this instance had that
+// roundTrip returns the time since the ping with a number was sent. A negative result means that this instance sent no ping with that
 // number.
 func roundTrip(sinceStart time.Duration, number uint64) time.Duration {
 	if number == 0 {
@@ -172,7 +172,7 @@
 	return sinceStart - time.Duration(number)
 }
 
-// readPongs reads pongs until the connection ends or another frame comes. Then it closes the connection, which ends write.
+// readPongs reads pongs until the connection ends or a frame of another kind arrives. Then it closes the connection, which ends write.
 func (l *link) readPongs(socket net.Conn, in *bufio.Reader) {
 	defer socket.Close()
 	for {
--- a/internal/peer/pipe_test.go
+++ b/internal/peer/pipe_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// pipeListener is a listener for connections of net.Pipe. Their deadlines are by the clock of a synctest bubble, so tests of times
-// do not depend on how busy the machine is.
+// pipeListener is a listener for connections of net.Pipe. Their deadlines are by the clock of a synctest bubble, so that tests of
+// timing do not depend on the load of the machine.
 type pipeListener struct {
 	connections chan net.Conn
 	closed      chan struct{}
 	closing     sync.Once
-	dropping    atomic.Bool // whether its connections drop all writes, as a network path does that fails without a reset
+	dropping    atomic.Bool // whether its connections drop all writes, like a network path that fails without a reset
 
 	mu     sync.Mutex
-	open   []net.Conn  // both ends of the connections dialled since the last cut
-	dialed []time.Time // when they were dialled
+	open   []net.Conn  // both ends of each connection dialled since the last cut
+	dialed []time.Time // times of these dials
 }
 
 // newPipeListener returns a listener without connections.
@@ -28,7 +28,7 @@
 	return &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 }
 
-// listen is an OpenListener.
+// listen is an Options.OpenListener.
 func (l *pipeListener) listen(string, string) (net.Listener, error) { return l, nil }
 
 // dial connects. It returns when the connection is accepted or the listener is closed.
@@ -47,7 +47,7 @@
 	return client
 }
 
-// cut closes all connections and forgets them. The listener goes on accepting.
+// cut closes all connections and clears the lists of them. The listener continues to accept.
 func (l *pipeListener) cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 	l.open, l.dialed = nil, nil
 }
 
-// dialTimes returns when the connections since the last cut were dialled.
+// dialTimes returns the times of the dials since the last cut.
 func (l *pipeListener) dialTimes() []time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,7 +100,7 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes this end. While the listener drops writes the other end does not notice, as over a network path that fails.
+// Close closes this end. While the listener drops writes, the other end does not see the close, as with a network path that fails.
 func (c pipeConn) Close() error {
 	if c.listener.dropping.Load() {
 		return c.SetDeadline(time.Unix(1, 0))
@@ -108,7 +108,7 @@
 	return c.Conn.Close()
 }
 
-// pipeNetwork has the listeners of instances by name. The name of an instance is its address as well.
+// pipeNetwork has the listeners of instances by name. The name of an instance is also its address.
 type pipeNetwork map[string]*pipeListener
 
 // add adds the listener of an instance.
@@ -117,7 +117,7 @@
 	return n[name]
 }
 
-// openControlMachine opens a control machine in this network. It is closed with the test.
+// openControlMachine opens a control machine in this network. It is closed when the test ends.
 func (n pipeNetwork) openControlMachine(t *testing.T, name string, change func(o *Options)) (*Bus, *listPublisher) {
 	t.Helper()
 	bus, publisher := openControlMachine(t, name, func(o *Options) {
--- a/internal/peer/query.go
+++ b/internal/peer/query.go
@@ -1,6 +1,6 @@
 package peer
 
-// Requests, which any program may send, and the responses to them.
+// Requests, which any program may send, and their responses.
 
 import (
 	"bufio"
@@ -10,24 +10,26 @@
 	"time"
 )
 
-// errVersion answers a request of another version of the protocol. Its text goes over the wire and must not change.
+// errVersion is the response to a request with another protocol version. Its text is sent on the wire and must not change.
 var errVersion = errors.New("peer: another version of the talk between directors")
 
-// QueryError is the error of a request that was received, but for which the other side has no answer.
+// QueryError is the error for a request that the other side received and answered with an error.
 type QueryError struct {
-	Addr   string // of the instance that the request was sent to
-	Reason string // the error that the instance gave
+	Addr   string // address that the request was sent to
+	Reason string // text of the error in the response
 }
 
-func (e *QueryError) Error() string { return fmt.Sprintf("peer: %s answers: %s", e.Addr, e.Reason) }
+func (e *QueryError) Error() string {
+	return fmt.Sprintf("peer: request to %s failed: %s", e.Addr, e.Reason)
+}
 
-// QueryHandlers are the functions that answer requests, by topic. They must not block for long. Any program on the network may
-// send a request, so answers must contain nothing confidential. The text of an error goes over the wire.
+// QueryHandlers are the functions that answer requests, by topic. They must not block for long. Any program on the network may send a
+// request, so neither results nor error texts, which are sent in the response, may contain anything confidential.
 type QueryHandlers map[string]func(payload []byte) ([]byte, error)
 
-// Query sends a request to the Bus or QueryServer at an address and returns the payload of the response. The timeout bounds the
-// dial and the exchange together. The error is a *QueryError if the other side has no answer; any other error is one of the
-// connection or of the frame.
+// Query sends a request to the Bus or QueryServer at an address and returns the payload of the response. The timeout covers the dial
+// and the exchange together. The error is a *QueryError if the other side responded with an error. Any other error comes from the
+// connection or from an invalid frame.
 func Query(addr, topic string, payload []byte, timeout time.Duration) ([]byte, error) {
 	deadline := time.Now().Add(timeout)
 	socket, err := (&net.Dialer{Deadline: deadline}).Dial("tcp", addr)
@@ -62,7 +64,7 @@
 	return response, nil
 }
 
-// answer calls the handler of a request. The texts of all errors go over the wire and must not change.
+// answer calls the handler of a request. The texts of its errors are sent on the wire and must not change.
 func (h QueryHandlers) answer(request requestFrame) ([]byte, error) {
 	handle := h[request.topic]
 	switch {
@@ -82,5 +84,5 @@
 	}
 	response := responseFrame{ok: err == nil, payload: payload}
 	socket.SetWriteDeadline(time.Now().Add(helloTimeout))
-	socket.Write(response.appendTo(nil)) // an error needs no handling: the other side sees the connection end
+	socket.Write(response.appendTo(nil)) // an error needs no handling, because the other side sees the connection end
 }
--- a/internal/peer/query_test.go
+++ b/internal/peer/query_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// The error of a request without an answer is a *QueryError with the reason of the other side. An error of the connection is not.
+// If the other side responds with an error, Query must return a *QueryError with that reason. An error of the connection must not be a
+// *QueryError.
 func TestQueryErrors(t *testing.T) {
 	server, err := OpenQueryServer("127.0.0.1:0", QueryHandlers{
 		"fails": func([]byte) ([]byte, error) { return nil, errors.New("out of order") },
@@ -34,12 +35,12 @@
 		_, err := Query(freeAddress(t), "fails", nil, 5*time.Second)
 		var queryError *QueryError
 		if err == nil || errors.As(err, &queryError) {
-			t.Errorf("got error %v, want one of the connection", err)
+			t.Errorf("got error %v, want an error of the connection", err)
 		}
 	})
 }
 
-// Close ends connections that have sent no request, instead of waiting for their timeout.
+// Close must close connections that have sent no request, instead of waiting for their timeout.
 func TestQueryServerCloseEndsConnections(t *testing.T) {
 	server, err := OpenQueryServer("127.0.0.1:0", nil)
 	if err != nil {
@@ -50,21 +51,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { connection.Close() })
-	eventually(t, "accepted", func() bool { return len(server.connections) == 1 })
+	eventually(t, "the connection is accepted", func() bool { return len(server.connections) == 1 })
 
 	began := time.Now()
 	if err := server.Close(); err != nil {
 		t.Error(err)
 	}
 	if took := time.Since(began); took > helloTimeout/2 {
-		t.Errorf("Close took %v, want less than %v", took, helloTimeout/2)
+		t.Errorf("duration of Close: got %v, want at most %v", took, helloTimeout/2)
 	}
 	if got := len(server.connections); got != 0 {
-		t.Errorf("%d connections are served after Close, want none", got)
+		t.Errorf("connections served after Close: got %d, want 0", got)
 	}
 }
 
-// A response that is damaged, too long or of another kind is an error of the frame.
+// A response that is damaged, too long or of another kind must result in an error that wraps errInvalidFrame.
 func TestQueryRejectsInvalidResponses(t *testing.T) {
 	damaged := responseFrame{ok: true, payload: []byte("payload")}.appendTo(nil)
 	damaged[len(damaged)-1]++
--- a/internal/peer/queryserver.go
+++ b/internal/peer/queryserver.go
@@ -1,6 +1,6 @@
 package peer
 
-// A server of requests alone, for instances without a bus.
+// A server that only answers requests, for instances without a bus.
 
 import (
 	"bufio"
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// QueryServer answers requests and does nothing else: it has no peers and no subscribers. It serves one request per connection and
-// up to maxUnidentified connections at a time; further ones wait in the kernel's backlog.
+// QueryServer answers requests and has neither peers nor subscribers. It serves one request per connection, and up to
+// maxUnidentified connections at a time. Further connections wait in the kernel's backlog.
 type QueryServer struct {
 	listener    net.Listener
 	handlers    QueryHandlers
-	connections chan struct{}   // one element for each open connection, at most maxUnidentified
-	closing     context.Context // done once Close was called
+	connections chan struct{}   // semaphore: one element for each open connection, at most maxUnidentified
+	closing     context.Context // done when Close is called
 	close       context.CancelFunc
 	goroutines  sync.WaitGroup
 }
 
-// OpenQueryServer listens at an address until Close. The error is that of opening the listener.
+// OpenQueryServer listens at an address until Close. It returns an error if the listener cannot be opened.
 func OpenQueryServer(addr string, handlers QueryHandlers) (*QueryServer, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return newQueryServer(listener, handlers), nil
 }
 
-// newQueryServer serves a listener until Close.
+// newQueryServer returns a server that serves a listener until Close.
 func newQueryServer(listener net.Listener, handlers QueryHandlers) *QueryServer {
 	s := &QueryServer{listener: listener, handlers: handlers, connections: make(chan struct{}, maxUnidentified)}
 	s.closing, s.close = context.WithCancel(context.Background())
@@ -41,7 +41,7 @@
 // Addr returns the address that the server listens at.
 func (s *QueryServer) Addr() string { return s.listener.Addr().String() }
 
-// Close stops accepting, ends the connections that have sent no request yet and waits for responses that are being written. It
+// Close stops accepting, closes the connections that have sent no request yet and waits until pending responses are written. It
 // returns the error of closing the listener.
 func (s *QueryServer) Close() error {
 	s.close()
@@ -62,10 +62,10 @@
 			return
 		}
 		if err != nil {
-			s.pause(backoff.failed(err))
+			s.pause(backoff.delayAfter(err))
 			continue
 		}
-		backoff.succeeded()
+		backoff.reset()
 		select {
 		case <-s.closing.Done():
 			socket.Close()
@@ -76,7 +76,7 @@
 	}
 }
 
-// pause waits for a delay, or until Close.
+// pause waits until a delay has passed or Close is called.
 func (s *QueryServer) pause(delay time.Duration) {
 	select {
 	case <-s.closing.Done():
--- a/internal/peer/ratelimit.go
+++ b/internal/peer/ratelimit.go
@@ -1,27 +1,28 @@
 package peer
 
-// Rate limits: of reading, of writing, of accepting and of log lines.
+// Rate limits for reading, writing, accepting and logging.
 
 import "time"
 
-// readPacer bounds the rates at which frames and bytes are read from one connection, by a pause before the next read. It guards
-// against a sender that takes more than its share of the processor. TCP holds the sender back during the pause.
+// readPacer limits the rates at which frames and bytes are read from one connection, by pauses between reads. It guards against a
+// sender that takes more than its share of processor time. During a pause TCP flow control slows the sender down.
 type readPacer struct {
-	frameRate float64 // most frames a second
-	byteRate  float64 // most bytes a second
+	frameRate float64 // maximum frames a second
+	byteRate  float64 // maximum bytes a second
 	updated   time.Time
-	spent     float64 // seconds at the rate that were used and have not passed yet
+	spent     float64 // cost of the reads so far, in seconds at the maximum rate, less the time that has passed
 }
 
-// readBurstSeconds is how many seconds at its rate a connection may use before it is paused.
+// readBurstSeconds is the burst of a connection, in seconds at its maximum rate. Above it reading is paused.
 const readBurstSeconds = 1
 
-// newReadPacer returns a pacer for rates in frames and bytes a second.
+// newReadPacer returns a pacer for maximum rates in frames and bytes a second.
 func newReadPacer(frameRate, byteRate float64) *readPacer {
 	return &readPacer{frameRate: frameRate, byteRate: byteRate, updated: time.Now()}
 }
 
-// wait accounts for one frame of so many bytes. Then it waits while more than readBurstSeconds are used, or until stop is closed.
+// wait accounts for one frame with a number of bytes. If more than readBurstSeconds are used, it waits for the excess to pass or for
+// stop to be closed.
 func (p *readPacer) wait(bytes int, stop <-chan struct{}) {
 	now := time.Now()
 	cost := max(1/p.frameRate, float64(bytes)/p.byteRate)
@@ -37,16 +38,16 @@
 	}
 }
 
-// tokenBucket is a token bucket that starts full. A withdrawal may overdraw it, so that more than a burst can pass at once as well.
+// tokenBucket is a token bucket that starts full. A withdrawal may overdraw it, so that a single item may exceed the burst.
 type tokenBucket struct {
-	rate    float64 // tokens a second; 0: no bound
-	burst   float64 // tokens that it holds at most
-	tokens  float64 // below 0: debt
+	rate    float64 // tokens a second; 0 means no limit
+	burst   float64 // maximum number of tokens
+	tokens  float64 // negative if the bucket is overdrawn
 	updated time.Time
 }
 
-// ready returns how long to wait until tokens may be taken. It is 0 if they may be taken now, otherwise a millisecond at least.
-func (b *tokenBucket) ready(now time.Time) time.Duration {
+// waitTime returns how long to wait until tokens may be taken: 0 if they may be taken now, otherwise at least a millisecond.
+func (b *tokenBucket) waitTime(now time.Time) time.Duration {
 	if b.rate <= 0 {
 		return 0
 	}
@@ -62,23 +63,23 @@
 	return max(time.Millisecond, time.Duration(-b.tokens/b.rate*float64(time.Second)))
 }
 
-// withdraw takes tokens, whether or not the bucket has them.
+// withdraw removes tokens, and overdraws the bucket if it has too few.
 func (b *tokenBucket) withdraw(tokens float64) { b.tokens -= tokens }
 
-// take takes tokens and returns how long to wait before using them.
+// take withdraws tokens and returns how long to wait before using them.
 func (b *tokenBucket) take(now time.Time, tokens float64) time.Duration {
-	wait := b.ready(now)
+	wait := b.waitTime(now)
 	b.withdraw(tokens)
 	return wait
 }
 
-// logLimitInterval is the shortest time between two lines that a LogLimit passes.
+// logLimitInterval is the minimum time between two lines that a LogLimit allows.
 const logLimitInterval = time.Second
 
-// LogLimit passes at most one log line a second and counts the others. It guards against a remote side that floods the log. The
-// zero value is ready for use. It is not safe for concurrent use.
+// LogLimit allows at most one log line a second and counts the others. It guards against a remote side that floods the log. The zero
+// value is ready for use. It is not safe for concurrent use.
 type LogLimit struct {
-	passed  time.Time // when the last line was passed
+	passed  time.Time // when the last line was allowed
 	skipped int       // lines skipped since then
 }
 
--- a/internal/peer/scale_test.go
+++ b/internal/peer/scale_test.go
@@ -16,15 +16,15 @@
 	"indigochute.example/indigochute/internal/changefeed"
 )
 
-// usage is the use of resources by this process at a time.
+// usage is the resource usage of this process at a point in time.
 type usage struct {
 	at            time.Time
 	processorTime time.Duration // since the process started
-	heap          uint64        // bytes, stacks included
+	heap          uint64        // bytes, including stacks
 	goroutines    int
 }
 
-// measureUsage measures the use after a garbage collection.
+// measureUsage runs a garbage collection and measures the usage after it.
 func measureUsage(b *testing.B) usage {
 	var m runtime.MemStats
 	runtime.GC()
@@ -41,8 +41,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// report reports the means over so many directors: the memory and goroutines between before and from, and the processor time and
-// bytes a second between from and to.
+// report reports means per director: the increase of memory and goroutines between before and from, and the processor time and bytes a
+// second between from and to.
 func report(b *testing.B, before, from, to usage, directors int, written, received int64) {
 	n, span := float64(directors), to.at.Sub(from.at).Seconds()
 	b.ReportMetric(float64(written)/span/n, "written-B/s/director")
@@ -53,24 +53,24 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// discardLog returns a log that is discarded.
+// discardLog returns a log whose output is discarded.
 func discardLog() *logrus.Entry {
 	return logTo(io.Discard)
 }
 
-// BenchmarkMesh measures the cost of a mesh of idle buses to each of them: bytes written (pings and pongs; as many are received),
-// processor time, memory and goroutines. All are in one process, over loopback. Bytes are without TCP headers.
+// BenchmarkMesh measures the cost per bus of a mesh of idle buses: bytes written (pings and pongs; the same number is received),
+// processor time, memory and goroutines. All buses are in one process and use loopback. Bytes do not include TCP headers.
 func BenchmarkMesh(b *testing.B) {
-	for _, many := range []int{10, 20, 40, 80} {
-		b.Run(fmt.Sprintf("instances=%d", many), func(b *testing.B) {
+	for _, instances := range []int{10, 20, 40, 80} {
+		b.Run(fmt.Sprintf("instances=%d", instances), func(b *testing.B) {
 			for b.Loop() {
-				measureMesh(b, many, discardLog())
+				measureMesh(b, instances, discardLog())
 			}
 		})
 	}
 }
 
-// measureMesh measures one mesh once all links are up.
+// measureMesh measures one mesh after all links are up.
 func measureMesh(b *testing.B, instances int, log *logrus.Entry) {
 	addrs := meshAddresses(b, instances)
 	before := measureUsage(b)
@@ -90,12 +90,12 @@
 	last, _ := meshTraffic(buses)
 	to := measureUsage(b)
 	if up != instances*(instances-1) {
-		b.Fatalf("%d of %d links are up", up, instances*(instances-1))
+		b.Fatalf("got %d links up, want %d", up, instances*(instances-1))
 	}
 	report(b, before, from, to, instances, last-first, last-first)
 }
 
-// meshAddresses returns free addresses of loopback by name, for so many instances.
+// meshAddresses returns free loopback addresses for a number of instances, by name.
 func meshAddresses(b *testing.B, instances int) map[string]string {
 	addrs := map[string]string{}
 	for i := range instances {
@@ -109,14 +109,14 @@
 	return addrs
 }
 
-// allBut returns a copy of addresses without that of a name.
+// allBut returns a copy of addrs without the address of one name.
 func allBut(addrs map[string]string, name string) map[string]string {
 	others := maps.Clone(addrs)
 	delete(others, name)
 	return others
 }
 
-// meshTraffic returns the bytes that buses wrote to each other so far, and how many links are up.
+// meshTraffic returns the total bytes that buses have written to each other, and the number of links that are up.
 func meshTraffic(buses []*Bus) (written int64, up int) {
 	for _, bus := range buses {
 		status := bus.Status()
@@ -131,7 +131,7 @@
 	return written, up
 }
 
-// silentPublisher is a publisher without messages.
+// silentPublisher is a Publisher without messages.
 type silentPublisher struct{}
 
 func (silentPublisher) Next(*Subscriber) (string, []byte)   { return "", nil }
@@ -141,20 +141,20 @@
 // subscriptionOf200Bytes is an UplinkOptions.Subscription.
 func subscriptionOf200Bytes() (topic string, payload []byte) { return "hello", make([]byte, 200) }
 
-// BenchmarkUplinks measures the cost of idle uplinks to two of nine control machines to each director. Directors and control
-// machines are in one process, over loopback: processor time, memory and goroutines are those of both sides together, per
-// director. The processor time includes that of the mesh of the control machines; memory and goroutines do not.
+// BenchmarkUplinks measures the cost per director of idle uplinks to two of nine control machines. Directors and control machines are
+// in one process and use loopback, so processor time, memory and goroutines are those of both sides together. The processor time
+// includes that of the mesh of the control machines; memory and goroutines do not.
 func BenchmarkUplinks(b *testing.B) {
-	for _, many := range []int{20, 60, 145, 290, 580} {
-		b.Run(fmt.Sprintf("directors=%d", many), func(b *testing.B) {
+	for _, directors := range []int{20, 60, 145, 290, 580} {
+		b.Run(fmt.Sprintf("directors=%d", directors), func(b *testing.B) {
 			for b.Loop() {
-				measureUplinks(b, many, discardLog())
+				measureUplinks(b, directors, discardLog())
 			}
 		})
 	}
 }
 
-// measureUplinks measures the uplinks of so many directors once all links are up.
+// measureUplinks measures the uplinks of a number of directors after all links are up.
 func measureUplinks(b *testing.B, directors int, log *logrus.Entry) {
 	var names []string
 	for i := range directors {
@@ -186,12 +186,12 @@
 	writtenLater, receivedLater, up := uplinkTraffic(all)
 	to := measureUsage(b)
 	if up != 2*directors {
-		b.Fatalf("%d of %d links are up", up, 2*directors)
+		b.Fatalf("got %d links up, want %d", up, 2*directors)
 	}
 	report(b, before, from, to, directors, writtenLater-written, receivedLater-received)
 }
 
-// scalePlace returns the place of the machine of a number. There are 39 sites, 18 zones and 7 regions.
+// scalePlace returns the place of machine i. There are 39 sites, 18 zones and 7 regions.
 func scalePlace(i int) changefeed.Place {
 	return changefeed.Place{Region: fmt.Sprint("r", i%7), Zone: fmt.Sprint("z", i%18), Site: fmt.Sprint("s", i%39)}
 }
@@ -220,7 +220,7 @@
 	}
 }
 
-// uplinkTraffic returns the bytes that directors wrote and received so far, and how many links are up.
+// uplinkTraffic returns the total bytes that directors have written and received, and the number of links that are up.
 func uplinkTraffic(all []*Uplinks) (written, received int64, up int) {
 	for _, uplinks := range all {
 		status := uplinks.Status()
@@ -229,13 +229,13 @@
 	return written, received, up
 }
 
-// BenchmarkScaleSubscribers measures dialling, accepting and ending the connection of one subscriber, besides so many idle others.
-// The processor time is that of both sides together, so a control machine needs no more to accept one.
+// BenchmarkScaleSubscribers measures dialling, accepting and closing the connection of one subscriber while a number of others are
+// idle. The processor time is that of both sides together, so it is an upper limit of what a control machine needs to accept one.
 func BenchmarkScaleSubscribers(b *testing.B) {
-	for _, many := range []int{16, 32, 65, 129, 258} {
-		b.Run(fmt.Sprintf("subscribers=%d", many), func(b *testing.B) {
+	for _, idle := range []int{16, 32, 65, 129, 258} {
+		b.Run(fmt.Sprintf("subscribers=%d", idle), func(b *testing.B) {
 			var names []string
-			for i := range many + 1 {
+			for i := range idle + 1 {
 				names = append(names, fmt.Sprintf("d%d", i))
 			}
 			bus, err := Open(Options{Name: "c", Listen: "127.0.0.1:0", Log: discardLog(), Subscribers: names, Publisher: silentPublisher{}})
@@ -251,7 +251,7 @@
 				hello := helloFrame{version: protocolVersion, name: name, sender: incarnation}
 				answer, err := writeHelloAndRead(connection, bufio.NewReader(connection), hello)
 				if err != nil || answer.receiver != incarnation {
-					b.Fatalf("%+v, %v", answer, err)
+					b.Fatalf("got answer %+v, error %v", answer, err)
 				}
 				return connection
 			}
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -1,6 +1,6 @@
 package peer
 
-// The status of a bus, which the command line prints.
+// The status of a bus, as printed by the command line.
 
 import (
 	"cmp"
@@ -9,14 +9,15 @@
 	"time"
 )
 
-// Counts counts what a bus has rejected and closed since its start. The JSON keys must not change.
+// Counts counts hellos, messages and frames that a bus has rejected, and connections that it has closed, since its start. The JSON keys
+// must not change.
 type Counts struct {
-	Unlisted          int `json:"unlisted"`  // hellos under a name that the operator file does not list
+	Unlisted          int `json:"unlisted"`  // hellos with a name that the operator file does not list
 	OldIncarnation    int `json:"old_life"`  // hellos and messages from or to an earlier incarnation of an instance
 	Unreadable        int `json:"nonsense"`  // frames that are invalid or unexpected, or hellos of another version
 	UnknownTopic      int `json:"strange"`   // messages with a topic that has no handler
-	Displaced         int `json:"put_out"`   // connections closed for newer ones, as there were too many
-	DuplicateInstance int `json:"two_of_me"` // times that a peer knew a higher incarnation of this instance
+	Displaced         int `json:"put_out"`   // connections closed in favour of newer ones, because there were too many
+	DuplicateInstance int `json:"two_of_me"` // times that a peer reported a higher incarnation of this instance
 }
 
 // Status is the status of a bus. The JSON keys must not change.
@@ -29,7 +30,7 @@
 	Subscribers SubscribersStatus `json:"subscribers"`
 }
 
-// LinkStatus is the status of a link to a peer. It counts from when the peer was listed at this address. The JSON keys and the
+// LinkStatus is the status of a link to a peer. The counters start when the peer is listed with this address. The JSON keys and the
 // states must not change.
 type LinkStatus struct {
 	Name    string  `json:"name"`
@@ -38,10 +39,10 @@
 	In      int     `json:"in"`    // connections that the peer dialled
 	Queued  int     `json:"queued"`
 	Sent    int     `json:"sent"`    // messages
-	Bytes   int64   `json:"bytes"`   // written: messages and pings, with their frames
+	Bytes   int64   `json:"bytes"`   // bytes written: messages and pings, including frame headers
 	Dropped int     `json:"dropped"` // messages
 	Dials   int     `json:"dials"`
-	RTT     float64 `json:"rtt_ms"` // of the last ping; 0: not known
+	RTT     float64 `json:"rtt_ms"` // round trip time of the last ping; 0 if not known
 }
 
 // Status returns the present status.
@@ -63,19 +64,19 @@
 	return status
 }
 
-// count changes the counts under the lock.
+// count applies a change to the counts under the lock.
 func (b *Bus) count(change func(c *Counts)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	change(&b.counts)
 }
 
-// countUnreadable counts an error of readFrame if the frame was invalid. It does not count errors of the connection.
+// countUnreadable counts an error of readFrame if it was caused by an invalid frame. It does not count errors of the connection.
 func (b *Bus) countUnreadable(err error) {
 	if errors.Is(err, errInvalidFrame) {
 		b.count(func(c *Counts) { c.Unreadable++ })
 	}
 }
 
-// milliseconds returns a duration in milliseconds, cut to whole microseconds.
+// milliseconds returns a duration in milliseconds, truncated to whole microseconds.
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
--- a/internal/peer/subscriber.go
+++ b/internal/peer/subscriber.go
@@ -1,6 +1,6 @@
 package peer
 
-// The connection of one subscriber: its two goroutines, its bounds and its timeouts.
+// The connection of one subscriber: its two goroutines, its limits and its timeouts.
 
 import (
 	"bufio"
@@ -12,60 +12,60 @@
 	"time"
 )
 
-// Bounds of what a subscriber may cost this process. They guard against one that floods and one that does not read.
+// Limits on the resources that a subscriber may use. They guard against a subscriber that floods and against one that does not read.
 const (
-	maxSubscriberFrameBytes = 64 << 10 // bytes of one frame that it sends
+	maxSubscriberFrameBytes = 64 << 10 // bytes of one frame that is read from it
 	maxSubscriberFrameRate  = 200      // frames a second that are read from it: subscription messages and pings
 	maxSubscriberByteRate   = 1 << 20  // bytes a second that are read from it
 	subscriberSocketBuffer  = 64 << 10 // bytes that the kernel buffers for it, in each direction
-	subscriberBurstSeconds  = 1        // seconds at its rate that may be written at once
+	subscriberBurstSeconds  = 1        // burst of writes to it, in seconds at its rate
 )
 
 // Timeouts and intervals of a subscriber.
 const (
 	subscriberPingInterval   = 300 * time.Millisecond // after the last frame written to it
-	subscriberSilenceTimeout = 4 * time.Second        // without a frame from it; then its connection is closed
-	slowSubscriberTimeout    = 2 * time.Second        // for one write; then its connection is closed
+	subscriberSilenceTimeout = 4 * time.Second        // time without a frame from it after which its connection is closed
+	slowSubscriberTimeout    = 2 * time.Second        // time for one write after which its connection is closed
 )
 
 // Publisher provides the messages that are written to subscribers. Its methods must be safe for concurrent use: Next and Receive
-// may run at the same time for one subscriber, and any method may run for several, one of which may be an earlier connection of
-// the same name.
+// may run at the same time for one subscriber, and any methods may run at the same time for several subscribers, one of which may be
+// an earlier connection of the same name.
 type Publisher interface {
-	// Next returns the next message for s, with a payload of at most MaxPayloadBytes. A nil payload means that there is none
-	// now. The one goroutine that writes to s calls it, whenever s is woken and after each write. It must not block for long.
+	// Next returns the next message for s, with a payload of at most MaxPayloadBytes. A nil payload means that there is no message
+	// at present. The goroutine that writes to s calls it after each Wake and after each write. It must not block for long.
 	Next(s *Subscriber) (topic string, payload []byte)
-	// Receive handles a message of s. The one goroutine that reads from s calls it. It must not block for long.
+	// Receive handles a message of s. The goroutine that reads from s calls it. It must not block for long.
 	Receive(s *Subscriber, topic string, payload []byte)
 	// Disconnected is called once for s, after all other calls for it have returned.
 	Disconnected(s *Subscriber)
 }
 
-// closeReason is why a subscriber's connection was closed.
+// closeReason is the reason for which a subscriber's connection was closed.
 type closeReason uint8
 
 const (
-	reasonLeft      closeReason = iota // the connection failed, or the subscriber sent a frame that is not accepted
-	reasonDisplaced                    // a newer connection has its name
-	reasonRemoved                      // its name is no longer allowed to subscribe
-	reasonSlow                         // a write was not done within slowSubscriberTimeout
-	reasonSilent                       // no frame came for subscriberSilenceTimeout
-	reasonClosing                      // the bus is closing
+	reasonDisconnected closeReason = iota // the connection failed, or the subscriber sent a frame that is not accepted
+	reasonDisplaced                       // a newer connection of the same name replaced it
+	reasonRemoved                         // its name is no longer allowed to subscribe
+	reasonSlow                            // a write was not complete within slowSubscriberTimeout
+	reasonSilent                          // no frame was received for subscriberSilenceTimeout
+	reasonClosing                         // the bus is closing
 )
 
-// Subscriber is one connection of a subscriber. It is open until end is called. One goroutine reads from it, another writes to it.
+// Subscriber is one connection of a subscriber. It is open until end is called. One goroutine reads from it, and another writes to it.
 type Subscriber struct {
 	Name  string
 	State any // for use by the publisher; the bus does not touch it
 
 	bus            *Bus
 	socket         net.Conn
-	incarnation    uint64        // the subscriber's
-	ownIncarnation uint64        // this instance's, as sent in its hello
-	wake           chan struct{} // holds an element while there may be something to write
+	incarnation    uint64        // incarnation of the subscriber
+	ownIncarnation uint64        // incarnation of this instance, as sent in its hello
+	wake           chan struct{} // has an element while there may be something to write
 	done           chan struct{} // closed by end
 	ending         sync.Once     // runs the body of end
-	pendingPong    atomic.Uint64 // number of the last ping that is not answered yet; 0: none
+	pendingPong    atomic.Uint64 // number of the last ping that was not answered yet; 0 if there is none
 }
 
 func newSubscriber(b *Bus, socket net.Conn, hello helloFrame) *Subscriber {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Wake makes the writer call Publisher.Next for this subscriber soon. It never blocks.
+// Wake signals the writer to call Publisher.Next for this subscriber. It never blocks.
 func (s *Subscriber) Wake() {
 	select {
 	case s.wake <- struct{}{}:
@@ -88,12 +88,12 @@
 	}
 }
 
-// run reads and writes until the connection ends. It calls Publisher.Disconnected once both goroutines are done.
+// run reads and writes until the connection ends. It calls Publisher.Disconnected after both goroutines have finished.
 func (s *Subscriber) run(in *bufio.Reader) {
 	var writer sync.WaitGroup
 	writer.Go(s.write)
 	s.read(in)
-	s.end(reasonLeft)
+	s.end(reasonDisconnected)
 	writer.Wait()
 	s.bus.options.Publisher.Disconnected(s)
 }
@@ -118,7 +118,7 @@
 	})
 }
 
-// read handles the frames of the subscriber, until no frame comes for subscriberSilenceTimeout or one is not accepted.
+// read handles the frames of the subscriber until no frame arrives for subscriberSilenceTimeout, or a frame is not accepted.
 func (s *Subscriber) read(in *bufio.Reader) {
 	pacer := newReadPacer(maxSubscriberFrameRate, maxSubscriberByteRate)
 	for {
@@ -158,9 +158,9 @@
 	return 0, false
 }
 
-// write writes the publisher's messages at the subscriber's rate, and a ping after subscriberPingInterval without a write. It writes
-// the pongs as well. If the reader wrote them, a subscriber that sends pings and reads nothing would extend the write deadline
-// for ever.
+// write writes the publisher's messages at the subscriber's rate, and a ping after subscriberPingInterval without a write. It also
+// writes the pongs. If the reading goroutine wrote them, a subscriber that sends pings and reads nothing would extend the write
+// deadline indefinitely.
 func (s *Subscriber) write() {
 	rate := float64(s.bus.options.SubscriberRate)
 	bucket := tokenBucket{rate: rate, burst: subscriberBurstSeconds * rate}
@@ -172,7 +172,7 @@
 	pings := uint64(0)
 	for {
 		buffer = s.appendPong(buffer[:0])
-		if wait := bucket.ready(time.Now()); wait == 0 {
+		if wait := bucket.waitTime(time.Now()); wait == 0 {
 			buffer = s.appendNext(buffer)
 		} else {
 			rateWait.Reset(wait)
@@ -199,7 +199,7 @@
 	}
 }
 
-// send writes bytes within slowSubscriberTimeout and counts those written. If the write fails it closes the connection and returns
+// send writes bytes within slowSubscriberTimeout and counts the bytes written. If the write fails, it closes the connection and returns
 // false.
 func (s *Subscriber) send(buffer []byte) (written int, ok bool) {
 	s.socket.SetWriteDeadline(time.Now().Add(slowSubscriberTimeout))
@@ -209,14 +209,14 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		s.end(reasonSlow)
 	case err != nil:
-		s.end(reasonLeft)
+		s.end(reasonDisconnected)
 	default:
 		s.bus.subscribers.frames.Add(1)
 	}
 	return written, err == nil
 }
 
-// appendPong appends the pong to the last ping, unless that was answered already.
+// appendPong appends the pong to the last ping, unless that ping was already answered.
 func (s *Subscriber) appendPong(buffer []byte) []byte {
 	number := s.pendingPong.Swap(0)
 	if number == 0 {
@@ -225,7 +225,7 @@
 	return pongFrame{number: number}.appendTo(buffer)
 }
 
-// appendNext appends the publisher's next message, if there is one. A payload that is too long is left out and counted.
+// appendNext appends the publisher's next message, if there is one. A message whose payload is too long is dropped and counted.
 func (s *Subscriber) appendNext(buffer []byte) []byte {
 	topic, payload := s.bus.options.Publisher.Next(s)
 	if payload == nil {
--- a/internal/peer/subscribers.go
+++ b/internal/peer/subscribers.go
@@ -11,31 +11,31 @@
 	"sync/atomic"
 )
 
-// SubscribersStatus is the status of all subscribers together. All numbers but Connected count from the start. The JSON keys must
-// not change.
+// SubscribersStatus is the status of all subscribers together. All counters except Connected are totals since the start. The JSON keys
+// must not change.
 type SubscribersStatus struct {
 	Connected int   `json:"connected"`
-	Bytes     int64 `json:"bytes"`  // written to them, with the frames
-	Frames    int64 `json:"frames"` // writes to them, each of one frame or of a pong and a message
+	Bytes     int64 `json:"bytes"`  // bytes written to them, including frame headers
+	Frames    int64 `json:"frames"` // writes to them, each with one frame, or with a pong and a message
 	Accepted  int   `json:"taken"`
-	Rejected  int   `json:"refused"`  // hellos under a name that is not listed, or of an earlier incarnation
-	Displaced int   `json:"put_out"`  // closed for a newer connection of the same name
-	Removed   int   `json:"removed"`  // closed because their name may no longer subscribe
-	Slow      int   `json:"slow"`     // closed because a write was not done within slowSubscriberTimeout
-	Silent    int   `json:"silent"`   // closed because no frame came for subscriberSilenceTimeout
-	Oversize  int   `json:"oversize"` // payloads of the publisher that were too long and left out
+	Rejected  int   `json:"refused"`  // hellos with a name that is not listed, or of an earlier incarnation
+	Displaced int   `json:"put_out"`  // connections closed in favour of a newer one of the same name
+	Removed   int   `json:"removed"`  // connections closed because their name may no longer subscribe
+	Slow      int   `json:"slow"`     // connections closed because a write was not complete within slowSubscriberTimeout
+	Silent    int   `json:"silent"`   // connections closed because no frame was received for subscriberSilenceTimeout
+	Oversize  int   `json:"oversize"` // messages of the publisher that were dropped because their payload was too long
 }
 
-// subscriberTable has the connected subscribers of a bus and the names that may subscribe.
+// subscriberTable holds the connected subscribers of a bus and the names that may subscribe.
 type subscriberTable struct {
-	snapshot atomic.Pointer[[]*Subscriber] // the values of byName, for waking them without a lock
-	bytes    atomic.Int64                  // written
-	frames   atomic.Int64                  // written
+	snapshot atomic.Pointer[[]*Subscriber] // values of byName, used to wake the subscribers without a lock
+	bytes    atomic.Int64                  // see SubscribersStatus.Bytes
+	frames   atomic.Int64                  // see SubscribersStatus.Frames
 
-	mu                sync.Mutex             // locked after that of the bus, never before it
+	mu                sync.Mutex             // must not be held when the lock of the bus is taken
 	allowed           map[string]bool        // names that may subscribe
-	knownIncarnations map[string]uint64      // the highest known incarnation, by name; of allowed names only
-	byName            map[string]*Subscriber // the connected ones
+	knownIncarnations map[string]uint64      // highest known incarnation, by allowed name
+	byName            map[string]*Subscriber // connected subscribers
 	counts            SubscribersStatus
 }
 
@@ -55,7 +55,7 @@
 	table.end(reasonRemoved, func(s *Subscriber) bool { return !allowed[s.Name] })
 }
 
-// WakeSubscribers wakes each subscriber: see Subscriber.Wake. It never blocks and takes no lock.
+// WakeSubscribers calls Subscriber.Wake for each connected subscriber. It never blocks and takes no lock.
 func (b *Bus) WakeSubscribers() {
 	snapshot := b.subscribers.snapshot.Load()
 	if snapshot == nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// end closes the subscribers that match, for a reason.
+// end closes the connections of the subscribers that match, and counts them under a reason.
 func (t *subscriberTable) end(reason closeReason, matches func(s *Subscriber) bool) {
 	t.mu.Lock()
 	var matching []*Subscriber
@@ -81,7 +81,7 @@
 	}
 }
 
-// status returns the counts with the values of the moment.
+// status returns the counts, with the present values of Connected, Bytes and Frames.
 func (t *subscriberTable) status() SubscribersStatus {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -92,7 +92,7 @@
 	return status
 }
 
-// count changes the counts under the lock.
+// count applies a change to the counts under the lock.
 func (t *subscriberTable) count(change func(c *SubscribersStatus)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +105,7 @@
 	t.snapshot.Store(&snapshot)
 }
 
-// remove removes a subscriber whose connection has ended, unless a newer one has its name.
+// remove removes a subscriber whose connection has ended, unless a newer connection has replaced it.
 func (t *subscriberTable) remove(s *Subscriber) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,17 +115,17 @@
 	}
 }
 
-// registration is the decision on a hello under a name that may be a subscriber's.
+// registration is the decision on a hello that may come from a subscriber.
 type registration uint8
 
 const (
 	notSubscriber   registration = iota // the name may not subscribe
-	oldIncarnation                      // rejected: a later incarnation is known
-	newRegistration                     // registered, in place of an earlier connection of the name if there is one
+	oldIncarnation                      // rejected, because a later incarnation is known
+	newRegistration                     // registered, in place of any earlier connection of the name
 )
 
-// register decides on a new subscriber and registers it. It returns the highest incarnation known of its name, and the earlier
-// connection that it replaces; nil: none.
+// register decides on a new subscriber, and registers it if it is accepted. It returns the highest known incarnation of the name, and
+// the earlier connection that the new one replaces, or nil.
 func (t *subscriberTable) register(s *Subscriber, c *inbound) (decision registration, known uint64, replaced *Subscriber) {
 	b := c.bus
 	b.mu.Lock()
@@ -150,8 +150,8 @@
 	return newRegistration, s.incarnation, replaced
 }
 
-// serveSubscriber serves a connection until it ends, if the name in its hello may subscribe. It returns false if the name may not;
-// nothing is written then.
+// serveSubscriber serves a connection until it ends if the name in its hello may subscribe. Otherwise it returns false, and has written
+// nothing.
 func (c *inbound) serveSubscriber(hello helloFrame, in *bufio.Reader) bool {
 	b := c.bus
 	if hello.version != protocolVersion || b.options.Publisher == nil {
@@ -163,7 +163,7 @@
 	case notSubscriber:
 		return false
 	case oldIncarnation:
-		c.writeHello(s.ownIncarnation, known) // the sender learns the known incarnation; an error needs no handling, as the connection ends
+		c.writeHello(s.ownIncarnation, known) // reports the known incarnation; an error needs no handling, as the connection ends
 		return true
 	}
 	if replaced != nil {
@@ -173,12 +173,12 @@
 	if c.writeHello(s.ownIncarnation, known) == nil {
 		s.run(in)
 	}
-	s.end(reasonLeft)
+	s.end(reasonDisconnected)
 	b.subscribers.remove(s)
 	return true
 }
 
-// limitBuffers bounds the memory that the kernel uses for a subscriber that reads nothing.
+// limitBuffers limits the memory that the kernel uses for a subscriber that reads nothing.
 func limitBuffers(socket net.Conn) {
 	if tcp, ok := socket.(*net.TCPConn); ok {
 		tcp.SetReadBuffer(subscriberSocketBuffer)
--- a/internal/peer/uplink.go
+++ b/internal/peer/uplink.go
@@ -15,39 +15,40 @@
 
 // Timeouts and intervals of an uplink.
 const (
-	uplinkSilenceTimeout    = time.Second            // without a frame; then the link is lost
-	uplinkPingInterval      = time.Second            // from one ping to the next
-	minSubscriptionInterval = 200 * time.Millisecond // from one subscription message to the next on one link
+	uplinkSilenceTimeout    = time.Second            // time without a frame after which the link is lost
+	uplinkPingInterval      = time.Second            // between two pings
+	minSubscriptionInterval = 200 * time.Millisecond // between two subscription messages on one link
 )
 
-// maxSubscriptionBytes is the largest payload of a subscription message: a control machine accepts no longer frame.
+// maxSubscriptionBytes is the largest payload of a subscription message. It follows from the largest frame that a control machine
+// accepts.
 const maxSubscriptionBytes = maxSubscriberFrameBytes - maxFrameOverhead - maxTopicBytes
 
 // Errors of an uplink. They are logged; docs/oncall.md quotes the first two.
 var (
-	errWrongPeer         = errors.New("uplink: somebody else listens there, or speaks another version")
-	errRejected          = errors.New("uplink: refused: this director is not listed there, or is known there in a later life")
-	errIncarnationRaised = fmt.Errorf("%w: the incarnation was raised above the one known there", errRejected)
-	errWrongIncarnation  = errors.New("uplink: a message from or to another incarnation")
+	errWrongPeer         = errors.New("uplink: unexpected peer name or protocol version")
+	errRejected          = errors.New("uplink: rejected: the control machine does not list this director, or knows a later incarnation of it")
+	errIncarnationRaised = fmt.Errorf("%w: incarnation raised above the known one", errRejected)
+	errWrongIncarnation  = errors.New("uplink: message from or to another incarnation")
 )
 
-// uplink is one connection to a control machine, or one attempt to dial it. It lasts until end is called and is not dialled again:
-// the selector decides on the next attempt, which is another uplink. One goroutine dials and writes, another reads.
+// uplink is one connection to a control machine, or one attempt to dial it. It exists until end is called and is not redialled: the
+// selector decides on the next attempt, for which another uplink is created. One goroutine dials and writes, and another reads.
 type uplink struct {
 	uplinks         *Uplinks
 	name            string
 	addr            string
-	ctx             context.Context // done: the link has ended
+	ctx             context.Context // done when the link has ended
 	cancel          context.CancelFunc
-	wake            chan struct{} // holds an element while a subscription message may be due
+	wake            chan struct{} // has an element while a subscription message may be due
 	subscriptionDue atomic.Bool
-	roundTrip       atomic.Int64 // nanoseconds, of the last ping; 0: not known
+	roundTrip       atomic.Int64 // round trip time of the last ping, in nanoseconds; 0 if not known
 
-	mu     sync.Mutex // guards socket until the hello; after that socket does not change
+	mu     sync.Mutex // guards socket until the exchange of hellos, after which socket does not change
 	socket net.Conn
 
-	incarnation        uint64 // of this director, as sent in its hello
-	controlIncarnation uint64 // of the control machine, from its hello
+	incarnation        uint64 // incarnation of this director, as sent in its hello
+	controlIncarnation uint64 // incarnation of the control machine, from its hello
 }
 
 func newUplink(u *Uplinks, name, addr string) *uplink {
@@ -66,8 +67,7 @@
 	}
 }
 
-// setSocket sets the connection that was dialled. An error means that the link has ended meanwhile; setSocket closes the
-// connection then.
+// setSocket sets the dialled connection. If the link has ended in the meantime, it closes the connection and returns an error.
 func (l *uplink) setSocket(socket net.Conn) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -79,8 +79,8 @@
 	return context.Cause(l.ctx)
 }
 
-// subscribe makes the writer send a subscription message. It never blocks.
-func (l *uplink) subscribe() {
+// requestSubscription signals the writer to send a subscription message. It never blocks.
+func (l *uplink) requestSubscription() {
 	l.subscriptionDue.Store(true)
 	select {
 	case l.wake <- struct{}{}:
@@ -91,20 +91,20 @@
 // run dials, exchanges hellos and writes until the link ends.
 func (l *uplink) run() {
 	in, err := l.connect()
-	if errors.Is(err, errIncarnationRaised) { // the second attempt is made under the higher incarnation
+	if errors.Is(err, errIncarnationRaised) { // the second attempt uses the higher incarnation
 		in, err = l.connect()
 	}
 	if err != nil {
-		l.uplinks.dialFailed(l, err)
+		l.uplinks.reportDialFailed(l, err)
 		return
 	}
-	l.uplinks.connected(l)
+	l.uplinks.reportLinkUp(l)
 	l.uplinks.goroutines.Go(func() { l.read(in) })
 	l.write()
 	l.socket.Close() // ends read, which reports the loss
 }
 
-// connect dials and exchanges hellos. After an error no connection is open. The error errIncarnationRaised means that this
+// connect dials and exchanges hellos. If it returns an error, the connection is closed. The error errIncarnationRaised means that this
 // director's incarnation was too low and has been raised.
 func (l *uplink) connect() (*bufio.Reader, error) {
 	dialContext, cancel := context.WithTimeout(l.ctx, dialTimeout)
@@ -124,8 +124,8 @@
 	return in, nil
 }
 
-// dial connects. It retries after a local error until the context is done: such an error says nothing about the control machine,
-// which must not lose its place in the selection for it.
+// dial connects to the control machine. It retries after a local error until the context is done: such an error does not indicate a
+// fault of the control machine, so it must not affect the selection.
 func (l *uplink) dial(ctx context.Context) (net.Conn, error) {
 	for {
 		socket, err := dialOrDefault(l.uplinks.options.Dial)(ctx, "tcp", l.addr)
@@ -143,16 +143,16 @@
 // countingConn is a connection that counts the bytes read from it.
 type countingConn struct {
 	net.Conn
-	read *atomic.Int64
+	bytesRead *atomic.Int64
 }
 
 func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.read.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
-// send writes bytes within a timeout and counts those written.
+// send writes bytes within a timeout and counts the bytes written.
 func (l *uplink) send(b []byte, timeout time.Duration) error {
 	l.socket.SetWriteDeadline(time.Now().Add(timeout))
 	written, err := l.socket.Write(b)
@@ -160,7 +160,7 @@
 	return err
 }
 
-// exchangeHello writes this director's hello and reads the control machine's. Its errors are those of checkAnswer and of the
+// exchangeHello writes this director's hello and reads that of the control machine. It returns the errors of checkAnswer and of the
 // connection.
 func (l *uplink) exchangeHello(in *bufio.Reader) error {
 	u := l.uplinks
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// checkAnswer checks that a hello is that of the control machine and accepts this director. The error is errWrongPeer, errRejected
-// or errIncarnationRaised; in the last case the control machine knows a higher incarnation of this director.
+// checkAnswer checks that a hello is from the expected control machine and accepts this director. The error is errWrongPeer,
+// errRejected or errIncarnationRaised. The last one means that the control machine knows a higher incarnation of this director.
 func (l *uplink) checkAnswer(answer helloFrame) error {
 	u := l.uplinks
 	switch {
@@ -196,14 +196,13 @@
 		return nil
 	}
 	raiseIncarnationAbove(&u.incarnation, answer.receiver, u.options.Log)
-	if answer.receiver > l.incarnation { // raised by this call, or by the other link before
+	if answer.receiver > l.incarnation { // raised by this call, or earlier by the other link
 		return errIncarnationRaised
 	}
 	return errRejected
 }
 
-// write sends pings and subscription messages until the link ends. Between two subscription messages it waits for
-// minSubscriptionInterval.
+// write sends pings and subscription messages until the link ends. Subscription messages are at least minSubscriptionInterval apart.
 func (l *uplink) write() {
 	pings := time.NewTicker(uplinkPingInterval)
 	defer pings.Stop()
@@ -239,12 +238,12 @@
 	}
 }
 
-// appendPing appends a ping that carries the present time; the pong repeats it, which gives the round trip time.
+// appendPing appends a ping with the present time as its number. The pong repeats it, from which the round trip time is computed.
 func (l *uplink) appendPing(buffer []byte) []byte {
 	return pingFrame{number: pingNumber(l.uplinks.sinceStart())}.appendTo(buffer)
 }
 
-// appendSubscription appends the subscription message. One that is longer than maxSubscriptionBytes is left out, counted and
+// appendSubscription appends the subscription message. A message whose payload exceeds maxSubscriptionBytes is dropped, counted and
 // logged.
 func (l *uplink) appendSubscription(buffer []byte) []byte {
 	u := l.uplinks
@@ -254,7 +253,7 @@
 	}
 	if len(payload) > maxSubscriptionBytes {
 		u.counters.oversize.Add(1)
-		u.options.Log.WithField("bytes", len(payload)).Error("uplink: a greeting that is too long is not told")
+		u.options.Log.WithField("bytes", len(payload)).Error("uplink: subscription message not sent because it is too long")
 		return buffer
 	}
 	u.counters.subscriptionsSent.Add(1)
@@ -262,7 +261,7 @@
 	return data.appendTo(buffer)
 }
 
-// read handles the frames of the control machine until the link fails or no frame comes for uplinkSilenceTimeout. Then it reports
+// read handles the frames of the control machine until the link fails or no frame arrives for uplinkSilenceTimeout. Then it reports
 // the loss.
 func (l *uplink) read(in *bufio.Reader) {
 	pacer := newReadPacer(maxFrameRate, maxByteRate)
@@ -274,7 +273,7 @@
 			size, err = l.handleFrame(f)
 		}
 		if err != nil {
-			l.uplinks.linkLost(l, err)
+			l.uplinks.reportLinkLost(l, err)
 			return
 		}
 		pacer.wait(maxFrameOverhead+size, l.ctx.Done())
@@ -284,7 +283,7 @@
 // handleFrame handles one frame and returns the size of its payload in bytes. An error ends the link.
 func (l *uplink) handleFrame(f frame) (size int, err error) {
 	switch f := f.(type) {
-	case pingFrame: // shows that the control machine is alive; it needs no pong
+	case pingFrame: // resets the silence timeout; it is not answered with a pong
 		return 0, nil
 	case pongFrame:
 		if rtt := roundTrip(l.uplinks.sinceStart(), f.number); rtt >= 0 {
@@ -301,8 +300,8 @@
 	return 0, errUnexpectedFrame
 }
 
-// deliver passes a message to the handler if this is the active link. It first waits until the handler is done with the last
-// message of the link that was active before.
+// deliver passes a message to the handler if this is the active link. It first waits until the handler has finished with the last
+// message of the formerly active link.
 func (l *uplink) deliver(data dataFrame) {
 	u := l.uplinks
 	u.handlerMu.Lock()
--- a/internal/peer/uplink_test.go
+++ b/internal/peer/uplink_test.go
@@ -21,16 +21,16 @@
 	"indigochute.example/indigochute/internal/changefeed"
 )
 
-// listPublisher is a publisher of a list of payloads. A subscription message of topic "hello" is the position in the list from which
-// a subscriber gets payloads, in decimal digits. It also records the calls of its methods.
+// listPublisher is a Publisher that sends a list of payloads. The payload of a subscription message, with topic "hello", is the position
+// in the list from which the subscriber gets payloads, in decimal digits. listPublisher also records the calls of its methods.
 type listPublisher struct {
 	mu           sync.Mutex
 	items        [][]byte
-	unrequested  bool     // writes payloads to subscribers without a subscription message as well
-	received     []string // messages, as name:topic:payload
+	unrequested  bool     // whether payloads are also written to subscribers that have sent no subscription message
+	received     []string // received messages, as name:topic:payload
 	lateCalls    int      // calls for a subscriber after its Disconnected
 	positions    map[*Subscriber]*subscriberPosition
-	disconnected map[*Subscriber]int // calls of Disconnected
+	disconnected map[*Subscriber]int // number of calls of Disconnected
 }
 
 // subscriberPosition is the Subscriber.State of a listPublisher.
@@ -39,7 +39,7 @@
 	subscribed bool
 }
 
-// positionOf returns the position of a subscriber. Called under the lock, by each method of Publisher.
+// positionOf returns the position of a subscriber. Each method of Publisher calls it, under the lock.
 func (p *listPublisher) positionOf(s *Subscriber) *subscriberPosition {
 	if p.positions == nil {
 		p.positions, p.disconnected = map[*Subscriber]*subscriberPosition{}, map[*Subscriber]int{}
@@ -108,11 +108,11 @@
 	return count
 }
 
-// checkDisconnected waits until no more than so many connections are open. It checks that Disconnected was called once for every
-// other connection, and after all other calls.
+// checkDisconnected waits until at most the given number of connections are open. It checks that Disconnected was called exactly once
+// for every other connection, and after all other calls.
 func (p *listPublisher) checkDisconnected(t *testing.T, open int) {
 	t.Helper()
-	eventually(t, "ended connections are disconnected", func() bool {
+	eventually(t, "Disconnected is called for closed connections", func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		return len(p.positions)-len(p.disconnected) <= open
@@ -121,11 +121,11 @@
 	defer p.mu.Unlock()
 	for _, n := range p.disconnected {
 		if n != 1 {
-			t.Errorf("Disconnected was called %d times for a subscriber, want once", n)
+			t.Errorf("calls of Disconnected for a subscriber: got %d, want 1", n)
 		}
 	}
 	if got := len(p.positions) - len(p.disconnected); got != open {
-		t.Errorf("got %d connections that are not disconnected, want %d", got, open)
+		t.Errorf("connections without a call of Disconnected: got %d, want %d", got, open)
 	}
 	if p.lateCalls > 0 {
 		t.Errorf("got %d calls after Disconnected, want none", p.lateCalls)
@@ -139,8 +139,8 @@
 	return logrus.NewEntry(log)
 }
 
-// openControlMachine opens a control machine at a free address of loopback, for subscribers d, e and f. Change may change its
-// options; nil: it does not.
+// openControlMachine opens a control machine at a free loopback address, for subscribers d, e and f. If change is not nil, it may change
+// the options.
 func openControlMachine(t testing.TB, name string, change func(options *Options)) (*Bus, *listPublisher) {
 	t.Helper()
 	publisher := &listPublisher{}
@@ -157,13 +157,13 @@
 	return mustOpen(t, options), publisher
 }
 
-// directorMessages collects the messages that a director receives. Their number is the position in its subscription message to a
-// listPublisher.
+// directorMessages collects the messages that a director receives. The number of messages is the position that the director sends to a
+// listPublisher in its subscription message.
 type directorMessages struct {
 	mu         sync.Mutex
 	payloads   []string
-	running    int  // calls of deliver
-	concurrent bool // two calls ran at the same time
+	running    int  // number of calls of deliver that are running
+	concurrent bool // whether two calls have run at the same time
 }
 
 // deliver is an UplinkOptions.Handler.
@@ -191,24 +191,24 @@
 	return "hello", []byte(strconv.Itoa(m.count()))
 }
 
-// openUplinksInOrder opens uplinks of a director in a region. It waits until the link to the first control machine is the active
-// one and a second link is up.
+// openUplinksInOrder opens uplinks of a director in a region. It waits until the link to the first control machine is active and a
+// second link is up.
 func openUplinksInOrder(t *testing.T, name, region string, messages *directorMessages, control ...ControlMachine) *Uplinks {
 	t.Helper()
-	return openUplinksInOrderOver(t, nil, name, region, messages, control...)
+	return openUplinksInOrderWithDial(t, nil, name, region, messages, control...)
 }
 
-// openUplinksInOrderOver is openUplinksInOrder with a dial function; nil: the system's.
-func openUplinksInOrderOver(
+// openUplinksInOrderWithDial is like openUplinksInOrder, with a dial function. Nil means net.Dialer.
+func openUplinksInOrderWithDial(
 	t *testing.T, dial dialFunc, name, region string, messages *directorMessages, control ...ControlMachine,
 ) *Uplinks {
 	t.Helper()
 	options := uplinkOptions(name, region, messages, control[0])
 	options.Dial = dial
 	uplinks := OpenUplinks(options)
-	eventually(t, "the first", func() bool { return uplinks.Status().Active == control[0].Name })
+	eventually(t, "the first link is active", func() bool { return uplinks.Status().Active == control[0].Name })
 	uplinks.SetControl(control)
-	eventually(t, "both", func() bool { return uplinks.Status().Up == min(2, len(control)) })
+	eventually(t, "the other link is up", func() bool { return uplinks.Status().Up == min(2, len(control)) })
 	return uplinks
 }
 
@@ -219,7 +219,7 @@
 	return OpenUplinks(options)
 }
 
-// uplinkOptions returns the options of a director in a region that collects its messages.
+// uplinkOptions returns the options for a director in a region. The messages of the director are collected in messages.
 func uplinkOptions(name, region string, messages *directorMessages, control ...ControlMachine) UplinkOptions {
 	return UplinkOptions{
 		Name:         name,
@@ -253,10 +253,10 @@
 
 	mu          sync.Mutex
 	paused      bool
-	connections []net.Conn // both sides
+	connections []net.Conn // both ends of each connection
 }
 
-// newTCPProxy starts a proxy to an address. It is closed with the test.
+// newTCPProxy starts a proxy to an address. It is closed when the test ends.
 func newTCPProxy(t testing.TB, upstream string) *tcpProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -292,7 +292,7 @@
 	}
 }
 
-// forward copies bytes one way until either side ends. It waits while the proxy is paused.
+// forward copies bytes in one direction until either side closes the connection. It waits while the proxy is paused.
 func (p *tcpProxy) forward(from, to net.Conn) {
 	defer from.Close()
 	defer to.Close()
@@ -323,7 +323,7 @@
 	p.paused = paused
 }
 
-// cut closes all connections and ends a pause. The proxy goes on accepting.
+// cut closes all connections and ends a pause. The proxy continues to accept.
 func (p *tcpProxy) cut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -335,7 +335,7 @@
 
 func (p *tcpProxy) addr() string { return p.listener.Addr().String() }
 
-// stateOfLink returns the state of the link to a control machine in Status; "unlisted": it has none of that name.
+// stateOfLink returns the state of the link to a control machine in Status, or "unlisted" if there is no link of that name.
 func stateOfLink(uplinks *Uplinks, name string) string {
 	for _, link := range uplinks.Status().Links {
 		if link.Name == name {
@@ -345,9 +345,9 @@
 	return "unlisted"
 }
 
-// The two links are to different failure domains, the first in the director's region. When the active one is lost, the director
-// subscribes on the other at once and gets the messages after the last one that it has.
-func TestUplinksAndFailover(t *testing.T) {
+// The two links must be to different failure domains, the first in the director's region. When the active one is lost, the director
+// must subscribe on the other immediately and get the messages that follow the last one that it has received.
+func TestUplinkFailover(t *testing.T) {
 	active, publisherOfActive := openControlMachine(t, "c", nil) // the first of its region by hash
 	standby, publisherOfStandby := openControlMachine(t, "b", nil)
 	defer standby.Close()
@@ -367,28 +367,28 @@
 		publisherOfActive.publish(active, fmt.Sprint("n", i))
 		publisherOfStandby.publish(standby, fmt.Sprint("n", i))
 	}
-	eventually(t, "all received", func() bool { return messages.count() == 50 })
+	eventually(t, "50 messages are received", func() bool { return messages.count() == 50 })
 	if n := publisherOfStandby.countReceived("d:"); n != 0 {
-		t.Errorf("got %d subscription messages on the standby link, want none", n)
+		t.Errorf("subscription messages on the standby link: got %d, want 0", n)
 	}
 
 	lateness := measureLateness(t)
 	began := time.Now()
 	active.Close()
-	eventually(t, "subscribed", func() bool { return publisherOfStandby.countReceived("d:hello:50") == 1 })
+	eventually(t, "the director has subscribed at b", func() bool { return publisherOfStandby.countReceived("d:hello:50") == 1 })
 	if took := time.Since(began); took > 400*time.Millisecond+lateness(began) {
-		t.Errorf("the failover took %v, want at most 400ms", took)
+		t.Errorf("duration of the failover: got %v, want at most 400ms", took)
 	}
 	if got := uplinks.Status().Active; got != "b" {
 		t.Errorf("got active link %q, want b", got)
 	}
 
 	publisherOfStandby.publish(standby, "n50", "n51")
-	eventually(t, "all received again", func() bool { return messages.count() == 52 })
-	eventually(t, "another standby link", func() bool { return stateOfLink(uplinks, "a") == "up" })
+	eventually(t, "52 messages are received", func() bool { return messages.count() == 52 })
+	eventually(t, "another standby link is up", func() bool { return stateOfLink(uplinks, "a") == "up" })
 	for i, payload := range messages.payloads {
 		if payload != fmt.Sprint("n", i) {
-			t.Fatalf("message %d is %s, want n%d", i, payload, i)
+			t.Fatalf("message %d: got %s, want n%d", i, payload, i)
 		}
 	}
 	if messages.concurrent {
@@ -396,41 +396,41 @@
 	}
 
 	checkStatusAfterFailover(t, uplinks.Status())
-	eventually(t, "no subscriber is left at the closed control machine", func() bool { return active.Status().Subscribers.Connected == 0 })
+	eventually(t, "no subscriber is connected to the closed control machine", func() bool { return active.Status().Subscribers.Connected == 0 })
 	publisherOfActive.checkDisconnected(t, 0)
 }
 
-// checkStatusAfterFailover checks the status of a director that has received 52 messages and made one failover, to b.
+// checkStatusAfterFailover checks the status of a director that has received 52 messages and has failed over once, to b.
 func checkStatusAfterFailover(t *testing.T, status UplinkStatus) {
 	t.Helper()
 	if status.Choice.Failovers != 1 || status.Delivered != 52 || status.SubscriptionsSent != 2 || status.Passive != 0 {
 		t.Errorf("got %+v, want 1 failover, 52 messages delivered, 2 subscriptions sent and none passive", status)
 	}
 	if status.Received == 0 || status.Written == 0 {
-		t.Errorf("got %d bytes received and %d written, want some", status.Received, status.Written)
+		t.Errorf("got %d bytes received and %d written, want more than 0 of each", status.Received, status.Written)
 	}
 	linkOfB := slices.IndexFunc(status.Links, func(link UplinkLink) bool { return link.Name == "b" })
 	if rtt := status.Links[linkOfB].RTT; rtt <= 0 || rtt > 1000 {
-		t.Errorf("got a round trip of %v ms, want 0 to 1000 ms", rtt)
+		t.Errorf("got a round trip time of %v ms, want above 0 and at most 1000 ms", rtt)
 	}
 }
 
-// When the active link is lost the director subscribes on the other without waiting for a timer: no time passes by the clock of a
-// synctest bubble.
-func TestFailoverWaitsForNoTimer(t *testing.T) {
-	const pollInterval = 5 * time.Millisecond // of eventually
+// When the active link is lost, the director must subscribe on the other one without waiting for a timer, so that no time passes by the
+// clock of a synctest bubble.
+func TestFailoverIsImmediate(t *testing.T) {
+	const pollInterval = 5 * time.Millisecond // see eventually
 	synctest.Test(t, func(t *testing.T) {
 		network := pipeNetwork{}
 		network.openControlMachine(t, "a", nil)
 		_, publisherOfB := network.openControlMachine(t, "b", nil)
 		control := northAndSouth("a", "b")
-		uplinks := openUplinksInOrderOver(t, network.dial, "d", "north", &directorMessages{}, control...)
+		uplinks := openUplinksInOrderWithDial(t, network.dial, "d", "north", &directorMessages{}, control...)
 		t.Cleanup(uplinks.Close)
 		began := time.Now()
 		network["a"].cut()
 		eventually(t, "subscribed at b", func() bool { return publisherOfB.countReceived("d:hello") == 1 })
 		if took := time.Since(began); took > pollInterval {
-			t.Errorf("the failover took %v, want at most %v", took, pollInterval)
+			t.Errorf("duration of the failover: got %v, want at most %v", took, pollInterval)
 		}
 		if got := uplinks.Status().Active; got != "b" {
 			t.Errorf("got active link %q, want b", got)
@@ -438,8 +438,8 @@
 	})
 }
 
-// A link is lost after a second without a frame. The control machine closes it as well. An idle link that works is not lost. All
-// times are by the clock of a synctest bubble.
+// A link must be lost after a second without a frame, and the control machine must close it as well. An idle link that works must not
+// be lost. All times are by the clock of a synctest bubble.
 func TestSilentLinkIsLost(t *testing.T) {
 	const silence, pingInterval, pollInterval = time.Second, 300 * time.Millisecond, 5 * time.Millisecond
 	const controlMachineSilence = 4 * time.Second
@@ -448,7 +448,7 @@
 		a, _ := network.openControlMachine(t, "a", nil)
 		_, publisherOfB := network.openControlMachine(t, "b", nil)
 		control := northAndSouth("a", "b")
-		uplinks := openUplinksInOrderOver(t, network.dial, "d", "north", &directorMessages{}, control...)
+		uplinks := openUplinksInOrderWithDial(t, network.dial, "d", "north", &directorMessages{}, control...)
 		t.Cleanup(uplinks.Close)
 
 		time.Sleep(100 * silence)
@@ -461,16 +461,16 @@
 		eventually(t, "subscribed at b", func() bool { return publisherOfB.countReceived("d:hello") == 1 })
 		took := time.Since(began)
 		if took < silence-pingInterval || took > silence+pollInterval {
-			t.Errorf("lost after %v, want %v to %v", took, silence-pingInterval, silence+pollInterval)
+			t.Errorf("time until the link is lost: got %v, want %v to %v", took, silence-pingInterval, silence+pollInterval)
 		}
 		eventually(t, "the control machine drops it as well", func() bool { return a.Status().Subscribers.Silent == 1 })
 		if took := time.Since(began); took > controlMachineSilence+pollInterval {
-			t.Errorf("the control machine closed it after %v, want at most %v", took, controlMachineSilence+pollInterval)
+			t.Errorf("time until the control machine closes the link: got %v, want at most %v", took, controlMachineSilence+pollInterval)
 		}
 	})
 }
 
-// A link over TCP that falls silent is lost on both sides. TestSilentLinkIsLost checks the times.
+// A silent link over TCP must be lost on both sides. TestSilentLinkIsLost checks the times.
 func TestSilentLinkIsLostOverTCP(t *testing.T) {
 	a, _ := openControlMachine(t, "a", nil)
 	defer a.Close()
@@ -486,13 +486,13 @@
 	proxy.setPaused(false)
 }
 
-// cutMesh has many directors, each with links to two of three control machines, over pipes that can be cut.
+// cutMesh has a number of directors, each with links to two of three control machines, over pipes that can be cut.
 type cutMesh struct {
 	network   pipeNetwork
 	directors []*Uplinks
 }
 
-// openCutMesh opens three control machines and so many directors. They are closed with the test.
+// openCutMesh opens three control machines and a number of directors. They are closed when the test ends.
 func openCutMesh(t *testing.T, directors int, spread time.Duration) *cutMesh {
 	t.Helper()
 	m := &cutMesh{network: pipeNetwork{}}
@@ -517,8 +517,8 @@
 	return m
 }
 
-// all reports whether a condition holds for the status of every director.
-func (m *cutMesh) all(holds func(s UplinkStatus) bool) bool {
+// allMatch reports whether a condition holds for the status of every director.
+func (m *cutMesh) allMatch(holds func(s UplinkStatus) bool) bool {
 	return !slices.ContainsFunc(m.directors, func(u *Uplinks) bool { return !holds(u.Status()) })
 }
 
@@ -529,7 +529,7 @@
 	}
 }
 
-// dialsAfter returns the times of all dials since the last cut, as durations after the start, sorted.
+// dialsAfter returns the times of all dials since the last cut, as durations after start, sorted.
 func (m *cutMesh) dialsAfter(start time.Time) (dials []time.Duration) {
 	for _, listener := range m.network {
 		for _, dialed := range listener.dialTimes() {
@@ -540,41 +540,41 @@
 	return dials
 }
 
-// After all links are cut at the same time every director is linked again within the spread, and the dials are spread over it. All
-// times are by the clock of a synctest bubble, which stands still while a goroutine runs.
+// After all links are cut at the same moment, every director must be linked again within the spread, and the dials must be distributed
+// over it. All times are by the clock of a synctest bubble, which does not advance while a goroutine runs.
 func TestDialsSpreadAfterAllLinksCut(t *testing.T) {
-	const many, spread, margin = 24, 800 * time.Millisecond, 50 * time.Millisecond
+	const directors, spread, margin = 24, 800 * time.Millisecond, 50 * time.Millisecond
 	bothUp := func(s UplinkStatus) bool { return s.Up == 2 }
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		m := openCutMesh(t, many, spread)
-		eventually(t, "all up", func() bool { return m.all(bothUp) })
+		m := openCutMesh(t, directors, spread)
+		eventually(t, "all links are up", func() bool { return m.allMatch(bothUp) })
 		if took := time.Since(began); took < spread/2 || took > spread+margin {
-			t.Errorf("all up after %v, want %v to %v", took, spread/2, spread+margin)
+			t.Errorf("time until all links are up: got %v, want %v to %v", took, spread/2, spread+margin)
 		}
 
 		for round := range 2 {
 			cut := time.Now()
 			m.cut()
-			eventually(t, "all losses seen", func() bool {
-				return m.all(func(s UplinkStatus) bool { return s.Choice.Lost >= 2*(round+1) })
+			eventually(t, "all losses are detected", func() bool {
+				return m.allMatch(func(s UplinkStatus) bool { return s.Choice.Lost >= 2*(round+1) })
 			})
-			eventually(t, "all linked", func() bool { return m.all(func(s UplinkStatus) bool { return s.Up >= 1 }) })
+			eventually(t, "every director has a link", func() bool { return m.allMatch(func(s UplinkStatus) bool { return s.Up >= 1 }) })
 			if took := time.Since(cut); took > spread+margin {
-				t.Errorf("all linked after %v, want at most %v", took, spread+margin)
+				t.Errorf("time until every director is linked: got %v, want at most %v", took, spread+margin)
 			}
-			eventually(t, "all up again", func() bool { return m.all(bothUp) })
+			eventually(t, "all links are up again", func() bool { return m.allMatch(bothUp) })
 			dials := m.dialsAfter(cut)
-			if span := dials[many*3/4] - dials[many/8]; span < spread/6 {
-				t.Errorf("from the 1st eighth to the 3rd quarter of the %d dials are %v, want %v at least: %v", len(dials), span, spread/6, dials)
+			if span := dials[directors*3/4] - dials[directors/8]; span < spread/6 {
+				t.Errorf("got %d dials whose middle part spans %v, want at least %v: %v", len(dials), span, spread/6, dials)
 			}
 		}
 	})
 }
 
-// Only the messages of the active link are delivered. Calls of Resubscribe are merged, and the last one is not lost. All times are
-// by the clock of a synctest bubble.
-func TestPassiveAndResubscribe(t *testing.T) {
+// Only the messages of the active link may be delivered. Calls of Resubscribe must be coalesced, and the last one must not be lost. All
+// times are by the clock of a synctest bubble.
+func TestPassiveMessagesAndResubscribe(t *testing.T) {
 	const interval = 200 * time.Millisecond // between two subscription messages
 	synctest.Test(t, func(t *testing.T) {
 		network := pipeNetwork{}
@@ -583,12 +583,12 @@
 		publisherOfB.unrequested = true
 		var messages directorMessages
 		control := northAndSouth("a", "b")
-		uplinks := openUplinksInOrderOver(t, network.dial, "d", "north", &messages, control...)
+		uplinks := openUplinksInOrderWithDial(t, network.dial, "d", "north", &messages, control...)
 		t.Cleanup(uplinks.Close)
 
 		publisherOfA.publish(a, "active")
 		publisherOfB.publish(b, "passive", "passive")
-		eventually(t, "messages of both links", func() bool { return uplinks.Status().Passive == 2 && messages.count() == 1 })
+		eventually(t, "messages of both links have arrived", func() bool { return uplinks.Status().Passive == 2 && messages.count() == 1 })
 		if got := messages.payloads[0]; got != "active" {
 			t.Errorf("got message %q, want that of the active link", got)
 		}
@@ -601,16 +601,16 @@
 		}
 		messages.deliver("", nil)
 		uplinks.Resubscribe()
-		eventually(t, "the last subscription message", func() bool { return publisherOfA.countReceived("d:hello:2") >= 1 })
+		eventually(t, "the last subscription message is received", func() bool { return publisherOfA.countReceived("d:hello:2") >= 1 })
 		time.Sleep(2 * interval)
 		if sent := publisherOfA.countReceived("d:hello") - before; sent != 4 {
-			t.Errorf("got %d subscription messages, want 4", sent)
+			t.Errorf("subscription messages: got %d, want 4", sent)
 		}
 	})
 }
 
-// A control machine that moved to another address is dialled again, and one that is not listed any more is dropped. Other links are
-// kept.
+// A control machine whose address has changed must be dialled again, and one that is no longer listed must be dropped. Other links must
+// be kept.
 func TestSetControl(t *testing.T) {
 	a, _ := openControlMachine(t, "a", nil)
 	defer a.Close()
@@ -626,17 +626,17 @@
 	defer uplinks.Close()
 
 	uplinks.SetControl([]ControlMachine{controlMachine("north", "north1", "a", movedA.Addr()), atB})
-	eventually(t, "the new address", func() bool { return uplinks.Status().Up == 2 && movedA.Status().Subscribers.Connected == 1 })
+	eventually(t, "the new address is connected", func() bool { return uplinks.Status().Up == 2 && movedA.Status().Subscribers.Connected == 1 })
 	if n := b.Status().Subscribers.Accepted; n != 1 {
-		t.Errorf("b accepted %d connections, want 1", n)
+		t.Errorf("connections that b accepted: got %d, want 1", n)
 	}
 
 	uplinks.SetControl([]ControlMachine{controlMachine("west", "west1", "c", c.Addr()), atB})
-	eventually(t, "the new machine", func() bool {
+	eventually(t, "the new machine is connected", func() bool {
 		s := uplinks.Status()
 		return s.Up == 2 && stateOfLink(uplinks, "c") == "up" && stateOfLink(uplinks, "a") == "unlisted"
 	})
-	eventually(t, "the dropped link ended", func() bool { return movedA.Status().Subscribers.Connected == 0 })
+	eventually(t, "the dropped link is closed", func() bool { return movedA.Status().Subscribers.Connected == 0 })
 	publisherOfMovedA.checkDisconnected(t, 0)
 
 	uplinks.SetControl(nil)
@@ -646,7 +646,8 @@
 	})
 }
 
-// serveConnections accepts connections at a free address, which it returns, and serves each with a function until the test ends.
+// serveConnections accepts connections at a free loopback address until the test ends, and calls serve for each. It returns the
+// address.
 func serveConnections(t *testing.T, serve func(connection net.Conn)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -666,9 +667,9 @@
 	return listener.Addr().String()
 }
 
-// A control machine that sends an invalid frame after the hello loses the link, and the frame is not delivered.
+// If a control machine sends an invalid frame after the hello, the director must end the link and must not deliver the frame.
 func TestInvalidFramesOfControlMachines(t *testing.T) {
-	const control = 9 // incarnation of the control machine
+	const control = 9 // incarnation in the hello of the control machine
 	encodedData := func(sender, receiver uint64) []byte {
 		f := dataFrame{sender: sender, receiver: receiver, topic: "note", payload: []byte("payload")}
 		return f.appendTo(nil)
@@ -680,7 +681,7 @@
 	}
 	for _, test := range []struct {
 		name      string
-		sent      func(director uint64) []byte // by the incarnation of the director
+		sent      func(director uint64) []byte // returns the bytes to send, given the incarnation of the director
 		delivered bool
 		endsLink  bool // whether the frame alone ends the link; otherwise the control machine closes it
 	}{
@@ -720,7 +721,7 @@
 			endsLink: true,
 		},
 		{
-			name: "cut",
+			name: "truncated",
 			sent: func(director uint64) []byte { return encodedData(control, director)[:12] },
 		},
 	} {
@@ -729,7 +730,7 @@
 				defer connection.Close()
 				in := bufio.NewReader(connection)
 				director := answerHello(connection, in, "a", control)
-				awaitSubscription(in) // after that the link is the director's active one
+				awaitSubscription(in) // after that the link is the active one
 				connection.Write(test.sent(director))
 				if test.endsLink {
 					pingUntilClosed(connection)
@@ -737,7 +738,7 @@
 			})
 			var messages directorMessages
 			uplinks := openTestUplinks("d", "north", 0, &messages, controlMachine("north", "north1", "a", addr))
-			eventually(t, "up and lost", func() bool { return uplinks.Status().Choice.Lost > 0 })
+			eventually(t, "the link is lost", func() bool { return uplinks.Status().Choice.Lost > 0 })
 			uplinks.Close()
 			if got := messages.count() > 0; got != test.delivered {
 				t.Errorf("delivered: got %v, want %v", got, test.delivered)
@@ -746,7 +747,7 @@
 	}
 }
 
-// A director does not use control machines that reject it, have another name, do not answer or send invalid frames.
+// A director must not use control machines that reject it, have another name, do not answer or send invalid frames.
 func TestUplinksAvoidBadControlMachines(t *testing.T) {
 	good, _ := openControlMachine(t, "good", nil)
 	defer good.Close()
@@ -772,19 +773,19 @@
 		controlMachine("south", "f", "good", good.Addr()))
 	defer uplinks.Close()
 
-	eventually(t, "the good one is active", func() bool { return uplinks.Status().Active == "good" })
-	eventually(t, "all were tried", func() bool {
+	eventually(t, "the good control machine is active", func() bool { return uplinks.Status().Active == "good" })
+	eventually(t, "all control machines were dialled", func() bool {
 		return !slices.ContainsFunc(uplinks.Status().Links, func(link UplinkLink) bool { return link.Dials == 0 })
 	})
-	eventually(t, "the rejection", func() bool { return rejects.Status().Subscribers.Rejected > 0 })
-	eventually(t, "the failed dials", func() bool { return uplinks.Status().Choice.Failed >= 4 })
+	eventually(t, "the rejection is counted", func() bool { return rejects.Status().Subscribers.Rejected > 0 })
+	eventually(t, "the failed dials are counted", func() bool { return uplinks.Status().Choice.Failed >= 4 })
 	if status := uplinks.Status(); status.Delivered != 0 || status.Active != "good" {
-		t.Errorf("got %+v, want the good one active and no message delivered", status)
+		t.Errorf("got status %+v, want the good control machine active and no message delivered", status)
 	}
 }
 
-// answerHello reads the hello of the other side, accepts it under a name and incarnation, and returns the other side's incarnation;
-// 0: there was no hello.
+// answerHello reads the hello of the other side and accepts it with the given name and incarnation. It returns the other side's
+// incarnation, or 0 if there was no hello.
 func answerHello(connection net.Conn, in *bufio.Reader, name string, incarnation uint64) (other uint64) {
 	f, _ := readFrame(in, maxHelloBytes)
 	hello, _ := f.(helloFrame)
@@ -804,7 +805,7 @@
 	}
 }
 
-// awaitSubscription reads frames until a subscription message comes or the connection ends.
+// awaitSubscription reads frames until a subscription message arrives or the connection ends.
 func awaitSubscription(in *bufio.Reader) {
 	for {
 		f, err := readFrame(in, maxFrameBytes)
@@ -814,8 +815,9 @@
 	}
 }
 
-// A director whose clock went back learns its later incarnation from the control machine, and is accepted under a higher one.
-func TestUplinkClockWentBack(t *testing.T) {
+// A director whose clock went back must be accepted: the control machine reports the higher incarnation that it knows, and the director
+// raises its own above that.
+func TestUplinkIncarnationRaisedAfterClockStepBack(t *testing.T) {
 	a, _ := openControlMachine(t, "a", nil)
 	defer a.Close()
 	a.subscribers.mu.Lock()
@@ -824,17 +826,17 @@
 	var messages directorMessages
 	uplinks := openTestUplinks("d", "north", 0, &messages, controlMachine("north", "north1", "a", a.Addr()))
 	defer uplinks.Close()
-	eventually(t, "accepted", func() bool { return uplinks.Status().Up == 1 })
+	eventually(t, "the director is accepted", func() bool { return uplinks.Status().Up == 1 })
 	if got, want := uplinks.incarnation.Load(), uint64(1<<62+1); got != want {
 		t.Errorf("got incarnation %x, want %x", got, want)
 	}
 	if status := a.Status(); status.Subscribers.Rejected != 1 || status.Counts.OldIncarnation != 1 {
-		t.Errorf("got %+v, want one hello of an old incarnation rejected", status)
+		t.Errorf("got status %+v, want one hello of an old incarnation rejected", status)
 	}
 }
 
-// openSlowMesh opens three control machines that are peers of each other, with low rates of accepting and writing. It returns their
-// entries as well.
+// openSlowMesh opens three control machines that are peers of each other, with low rates for accepting and writing. It also returns
+// their entries for UplinkOptions.
 func openSlowMesh(t *testing.T) (buses []*Bus, publishers []*listPublisher, control []ControlMachine) {
 	t.Helper()
 	addrs := map[string]string{"c0": freeAddress(t), "c1": freeAddress(t), "c2": freeAddress(t)}
@@ -853,8 +855,8 @@
 	return buses, publishers, control
 }
 
-// Close ends every goroutine on both sides, also of links that are being dialled. A second Close and a late Resubscribe have no
-// effect.
+// Close must end every goroutine on both sides, including those of links that are being dialled. A second Close and a Resubscribe after
+// Close must have no effect.
 func TestCloseEndsAllGoroutines(t *testing.T) {
 	before := runtime.NumGoroutine()
 	func() {
@@ -867,10 +869,10 @@
 			directors = append(directors, openTestUplinks(name, fmt.Sprint("r", i), 50*time.Millisecond, &directorMessages{}, control...))
 		}
 		for _, director := range directors {
-			eventually(t, "up", func() bool { return director.Status().Up == 2 })
+			eventually(t, "both links are up", func() bool { return director.Status().Up == 2 })
 		}
 		for i, bus := range buses {
-			publishers[i].publish(bus, strings.Repeat("x", 30000), strings.Repeat("x", 30000)) // more than the rate allows at once
+			publishers[i].publish(bus, strings.Repeat("x", 30000), strings.Repeat("x", 30000)) // exceeds the burst that the rate allows
 			eventually(t, "the mesh is up", func() bool {
 				return !slices.ContainsFunc(bus.Status().Links, func(link LinkStatus) bool { return link.State != "up" })
 			})
@@ -891,7 +893,7 @@
 	eventually(t, "no goroutine is left", func() bool { return runtime.NumGoroutine() <= before })
 }
 
-// A subscription message without a payload is not sent. One that is too long is not sent either, and is counted.
+// A subscription message without a payload must not be sent. One that is too long must not be sent either, and must be counted.
 func TestSubscriptionMessages(t *testing.T) {
 	control, publisher := openControlMachine(t, "a", nil)
 	defer control.Close()
@@ -911,17 +913,17 @@
 	}
 	uplinks := OpenUplinks(options)
 	defer uplinks.Close()
-	eventually(t, "up", func() bool { return uplinks.Status().Up == 1 })
+	eventually(t, "the link is up", func() bool { return uplinks.Status().Up == 1 })
 
 	setPayload(make([]byte, maxSubscriberFrameBytes))
 	uplinks.Resubscribe()
-	eventually(t, "the one that is too long is counted", func() bool { return uplinks.Status().Oversize == 1 })
+	eventually(t, "the message that is too long is counted", func() bool { return uplinks.Status().Oversize == 1 })
 
 	setPayload([]byte("5"))
 	uplinks.Resubscribe()
-	eventually(t, "received", func() bool { return publisher.countReceived("d:hello:5") == 1 })
+	eventually(t, "the subscription message is received", func() bool { return publisher.countReceived("d:hello:5") == 1 })
 	if got := publisher.countReceived("d"); got != 1 {
-		t.Errorf("got %d messages, want 1", got)
+		t.Errorf("messages received: got %d, want 1", got)
 	}
 	if status := uplinks.Status(); status.SubscriptionsSent != 1 || status.Choice.Lost > 0 {
 		t.Errorf("got %+v, want 1 subscription sent and no link lost", status)
--- a/internal/peer/uplinks.go
+++ b/internal/peer/uplinks.go
@@ -1,6 +1,6 @@
 package peer
 
-// The links of a director to control machines. They carry out what changefeed.LinkSelector decides.
+// The links of a director to control machines, which are controlled by changefeed.LinkSelector.
 
 import (
 	"context"
@@ -23,45 +23,45 @@
 
 // UplinkOptions are the options of a director's links to control machines.
 type UplinkOptions struct {
-	Name    string           // of the director
-	Place   changefeed.Place // of the director
-	Control []ControlMachine // the selector chooses two of them
-	Spread  time.Duration    // the first dials, and those after losses, are spread over it at random: directors must not dial all at once
-	Seed    uint64           // of the random choices; directors should have different ones
-	Log     *logrus.Entry    // nil: nothing is logged
-	// Subscription returns the message that is sent on a link when it becomes the active one, and again after Resubscribe. A nil
-	// payload is not sent. Any goroutine may call it, also while Handler runs. It must not block for long.
+	Name    string           // name of the director
+	Place   changefeed.Place // place of the director
+	Control []ControlMachine // control machines, of which the selector chooses two
+	Spread  time.Duration    // time over which the first dials, and those after losses, are spread: directors must not all dial at once
+	Seed    uint64           // seed of the random choices; directors should have different seeds
+	Log     *logrus.Entry    // nil disables logging
+	// Subscription returns the message that is sent on a link when the link becomes active, and again after Resubscribe. If the
+	// payload is nil, nothing is sent. It may be called from any goroutine, also while Handler runs. It must not block for long.
 	Subscription func() (topic string, payload []byte)
 	// Handler handles the messages of the active link, one at a time. It must not block for long, nor call Close.
 	Handler func(topic string, payload []byte)
 
-	WallClock func() time.Time // gives the incarnation and nothing else; nil: the system's
-	// Dial connects to control machines; nil: the system's.
+	WallClock func() time.Time // used only for the incarnation; nil means the system clock
+	// Dial connects to control machines. Nil means net.Dialer.
 	Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// Uplinks are a director's links to two control machines. It subscribes on one of them, the active link; the other is a standby.
-// The selector keeps the states of the links and chooses the active one. The methods are safe for concurrent use.
+// Uplinks are a director's links to two control machines. The director subscribes on one of them, the active link; the other is a
+// standby. The selector tracks the states of the links and chooses the active one. The methods are safe for concurrent use.
 type Uplinks struct {
 	options     UplinkOptions
 	incarnation atomic.Uint64
 	start       time.Time
-	wake        chan struct{} // holds an element while the time of the selector's next tick may have changed
+	wake        chan struct{} // has an element while the time of the selector's next tick may have changed
 	stop        chan struct{} // closed by Close
 	goroutines  sync.WaitGroup
-	active      atomic.Pointer[uplink] // nil: none
+	active      atomic.Pointer[uplink] // nil if no link is active
 	handlerMu   sync.Mutex             // held while Handler runs
 	counters    uplinkCounters
 
 	mu         sync.Mutex // locked before that of a link
 	selector   *changefeed.LinkSelector
-	addrs      map[string]string  // of the control machines, by name
-	links      map[string]*uplink // up or being dialled, by name of the control machine
+	addrs      map[string]string  // addresses of the control machines, by name
+	links      map[string]*uplink // links that are up or being dialled, by name of the control machine
 	closed     bool
-	failureLog LogLimit // limits the log lines for links that failed
+	failureLog LogLimit // limits the log lines about failed links
 }
 
-// uplinkCounters are the counters that UplinkStatus shows.
+// uplinkCounters are the counters of UplinkStatus.
 type uplinkCounters struct {
 	receivedBytes     atomic.Int64
 	writtenBytes      atomic.Int64
@@ -71,7 +71,7 @@
 	oversize          atomic.Int64
 }
 
-// OpenUplinks starts to dial, at random times within the spread. The caller must call Close.
+// OpenUplinks starts to dial control machines, at random times within the spread. The caller must call Close.
 func OpenUplinks(o UplinkOptions) *Uplinks {
 	if o.Log == nil {
 		log := logrus.New()
@@ -94,8 +94,8 @@
 	return u
 }
 
-// splitAddresses returns the control machines as the selector takes them, and their addresses by name. If a name is listed twice
-// the first entry counts.
+// splitAddresses returns the control machines in the form that the selector expects, and their addresses by name. If a name is listed
+// twice, the first entry counts.
 func splitAddresses(control []ControlMachine) (machines []changefeed.ControlMachine, addrs map[string]string) {
 	addrs = map[string]string{}
 	for _, machine := range control {
@@ -107,10 +107,10 @@
 	return machines, addrs
 }
 
-// sinceStart returns the time since the start, by the monotonic clock. It is the selector's clock.
+// sinceStart returns the time since the start, by the monotonic clock. The selector uses this time.
 func (u *Uplinks) sinceStart() time.Duration { return time.Since(u.start) }
 
-// SetControl replaces the control machines. Links to those that stay at their address are kept.
+// SetControl replaces the control machines. Links to machines with an unchanged address are kept.
 func (u *Uplinks) SetControl(control []ControlMachine) {
 	machines, addrs := splitAddresses(control)
 	u.change(func(now time.Duration) []changefeed.Action {
@@ -124,7 +124,7 @@
 	})
 }
 
-// unmovedMachines returns the machines whose address stays the same with new addresses. Called under the lock.
+// unmovedMachines returns the machines whose address is the same in addrs as before. Called under the lock.
 func (u *Uplinks) unmovedMachines(machines []changefeed.ControlMachine, addrs map[string]string) (unmoved []changefeed.ControlMachine) {
 	for _, machine := range machines {
 		if u.addrs[machine.Name] == addrs[machine.Name] {
@@ -134,10 +134,10 @@
 	return unmoved
 }
 
-// Resubscribe sends the subscription message again on the active link. Calls within minSubscriptionInterval are merged into one.
+// Resubscribe sends the subscription message again on the active link. Calls within minSubscriptionInterval are coalesced.
 func (u *Uplinks) Resubscribe() {
 	if l := u.active.Load(); l != nil {
-		l.subscribe()
+		l.requestSubscription()
 	}
 }
 
@@ -155,7 +155,7 @@
 	u.goroutines.Wait()
 }
 
-// run ticks the selector until Close.
+// run calls the selector's Tick whenever it is due, until Close.
 func (u *Uplinks) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -171,7 +171,7 @@
 	}
 }
 
-// untilNextTick returns the time until the selector's next tick. It drains wake: NextTick accounts for all changes so far.
+// untilNextTick returns the time until the selector's next tick. It drains wake, because NextTick accounts for all changes so far.
 func (u *Uplinks) untilNextTick() time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -183,8 +183,8 @@
 	return u.selector.NextTick(now) - now
 }
 
-// change passes an input to the selector and carries out the actions that it returns. After Close it has no effect. It takes the
-// lock.
+// change calls input, which passes an input to the selector, and carries out the actions that it returns. After Close it has no
+// effect. It takes the lock.
 func (u *Uplinks) change(input func(now time.Duration) []changefeed.Action) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -216,13 +216,13 @@
 	case changefeed.Activate:
 		l := u.links[action.Name]
 		u.active.Store(l)
-		l.subscribe()
-		u.options.Log.WithField("control", action.Name).Info("uplink: subscribing here")
+		l.requestSubscription()
+		u.options.Log.WithField("control", action.Name).Info("uplink: subscribing to control machine")
 	}
 }
 
-// connected reports to the selector that a link is up.
-func (u *Uplinks) connected(l *uplink) {
+// reportLinkUp reports to the selector that a link is up.
+func (u *Uplinks) reportLinkUp(l *uplink) {
 	u.change(func(now time.Duration) []changefeed.Action {
 		if u.links[l.name] != l {
 			return nil
@@ -231,19 +231,19 @@
 	})
 }
 
-// dialFailed reports to the selector that the dial or the exchange of hellos failed.
-func (u *Uplinks) dialFailed(l *uplink, err error) {
-	u.ended(l, err, "uplink: a control machine cannot be linked", u.selector.DialFailed)
+// reportDialFailed reports to the selector that the dial or the exchange of hellos failed.
+func (u *Uplinks) reportDialFailed(l *uplink, err error) {
+	u.reportLinkEnd(l, err, "uplink: cannot connect to control machine", u.selector.DialFailed)
 }
 
-// linkLost reports to the selector that a link was lost.
-func (u *Uplinks) linkLost(l *uplink, err error) {
-	u.ended(l, err, "uplink: lost", u.selector.LinkLost)
+// reportLinkLost reports to the selector that a link was lost.
+func (u *Uplinks) reportLinkLost(l *uplink, err error) {
+	u.reportLinkEnd(l, err, "uplink: lost connection to control machine", u.selector.LinkLost)
 }
 
-// ended ends a link, logs why and passes the input to the selector. If the selector has dropped the link before, it neither logs
-// nor passes the input.
-func (u *Uplinks) ended(l *uplink, err error, logMessage string, input func(time.Duration, string) []changefeed.Action) {
+// reportLinkEnd ends a link, logs the error and passes the input to the selector. If the selector has already dropped the link, it
+// neither logs the error nor passes the input.
+func (u *Uplinks) reportLinkEnd(l *uplink, err error, logMessage string, input func(time.Duration, string) []changefeed.Action) {
 	l.end()
 	u.change(func(now time.Duration) []changefeed.Action {
 		if u.links[l.name] != l {
--- a/internal/peer/uplinkstatus.go
+++ b/internal/peer/uplinkstatus.go
@@ -11,23 +11,23 @@
 // UplinkLink is the status of the link to one control machine. The JSON keys and the states must not change.
 type UplinkLink struct {
 	Name  string  `json:"name"`
-	State string  `json:"state"` // idle, passed over, dialling, up or active; see stateName
+	State string  `json:"state"` // state as returned by stateName
 	Dials int     `json:"dials"`
-	RTT   float64 `json:"rtt_ms"` // of the last ping; 0: not known
+	RTT   float64 `json:"rtt_ms"` // round trip time of the last ping; 0 if not known
 }
 
-// UplinkStatus is the status of all uplinks. It counts from the start. The JSON keys must not change.
+// UplinkStatus is the status of all uplinks. The counters are totals since the start. The JSON keys must not change.
 type UplinkStatus struct {
-	Active            string                    `json:"active"` // name of the control machine; empty: none
+	Active            string                    `json:"active"` // name of the active link's control machine; empty if there is none
 	Up                int                       `json:"up"`
 	Links             []UplinkLink              `json:"links"`      // one for each control machine, the most preferred first
-	UnlinkedFor       time.Duration             `json:"without_ns"` // for how long no link has been up; 0: one is up
-	Received          int64                     `json:"received"`   // bytes, with the frames and without TCP headers
-	Written           int64                     `json:"written"`    // bytes, as Received
+	UnlinkedFor       time.Duration             `json:"without_ns"` // how long no link has been up; 0 while one is up
+	Received          int64                     `json:"received"`   // bytes received, including frame headers, without TCP headers
+	Written           int64                     `json:"written"`    // bytes written, counted like Received
 	Delivered         int64                     `json:"heard"`      // messages passed to the handler
-	Passive           int64                     `json:"passive"`    // messages that came on a standby link and were discarded
+	Passive           int64                     `json:"passive"`    // messages that arrived on a standby link and were discarded
 	SubscriptionsSent int64                     `json:"greeted"`
-	Oversize          int64                     `json:"oversize"` // subscription messages that were too long and not sent
+	Oversize          int64                     `json:"oversize"` // subscription messages that were not sent because they were too long
 	Choice            changefeed.SelectorCounts `json:"choice"`
 }
 
