--- a/internal/changefeed/bench_test.go
+++ b/internal/changefeed/bench_test.go
@@ -58,7 +58,7 @@
 		for b.Loop() {
 			last.number = last.log.head - 1
 			if len(node.Next(0, cursor, 16<<10)) != 1 {
-				b.Fatal("got another number of events than 1")
+				b.Fatal("got no event or several, want 1")
 			}
 		}
 	})
--- a/internal/changefeed/encode.go
+++ b/internal/changefeed/encode.go
@@ -129,7 +129,8 @@
 	return Message{Kind: Kind(kind), Vector: vector, Events: events}, nil
 }
 
-// valueReader decodes values in sequence and checks the lengths of lists. It records the first error of each kind.
+// valueReader decodes values in sequence and checks the lengths of lists. It records the first decoding error and
+// the first wrong length.
 type valueReader struct {
 	*msgpack.Values
 	shapeError error
--- a/internal/changefeed/epochs.go
+++ b/internal/changefeed/epochs.go
@@ -90,7 +90,7 @@
 	n.store.expire(n.clock)
 	former := n.store.own
 	entries := slices.Clone(former.entries)
-	if _, ok := n.reader.ledger.position(n.config.Name, former.epoch); ok { // from now on the former epoch is handled like that of any earlier incarnation
+	if _, ok := n.reader.ledger.position(n.config.Name, former.epoch); ok { // from now on it is an earlier epoch like any other
 		n.reader.ledger.setPosition(n.config.Name, former.epoch, former.head)
 	}
 	n.store.own = n.store.openLog(n.config.Name, epoch)
--- a/internal/changefeed/event.go
+++ b/internal/changefeed/event.go
@@ -25,7 +25,7 @@
 	readerEpochs = 64
 )
 
-// Position states that all events of one origin and epoch up to Number have been read.
+// Position is a reading position: all events of one origin and epoch up to Number have been read.
 type Position struct {
 	Origin string `json:"origin"`
 	Epoch  uint64 `json:"epoch"`
@@ -86,8 +86,8 @@
 	return validNumbers && validLoss && validSize && validLifetime
 }
 
-// eventHeadBytes is the maximum size of an encoded event, not counting the contents of its origin, key and payload.
-const eventHeadBytes = 1 + // header of the list
+// eventOverheadBytes is the maximum size of an encoded event, not counting the contents of its origin, key and payload.
+const eventOverheadBytes = 1 + // header of the list
 	2 + // header of the origin
 	5*9 + // epoch, number, prev, lost and fence
 	2 + // header of the key
@@ -95,7 +95,7 @@
 	5 // header of the payload
 
 // size returns the number of bytes that an event counts towards a limit. It is never less than the size of the encoded event.
-func (e *Event) size() int { return len(e.Origin) + len(e.Key) + len(e.Payload) + eventHeadBytes }
+func (e *Event) size() int { return len(e.Origin) + len(e.Key) + len(e.Payload) + eventOverheadBytes }
 
 // Kind is the kind of a message. The values are sent on the wire.
 type Kind uint8
--- a/internal/changefeed/fetch.go
+++ b/internal/changefeed/fetch.go
@@ -139,8 +139,8 @@
 }
 
 // chooseSource returns the machine to ask for the events that follow a position. The candidates are the machines that claim to be
-// ahead of it. The first choice is the origin, or a candidate by hash if the origin is none. After a timeout the choice is the
-// candidate that follows the machine that was asked, in the order of names.
+// ahead of it. The first choice is the origin, or a candidate by hash if the origin is not a candidate. After a timeout the choice is
+// the candidate that follows the machine that was asked before, in the order of names.
 func (n *Node) chooseSource(position Position) string {
 	var candidates []string // sorted
 	for _, name := range n.config.Origins {
--- a/internal/changefeed/publish.go
+++ b/internal/changefeed/publish.go
@@ -58,9 +58,10 @@
 	n.store.add(now, own, &event)
 }
 
-// newestOwn returns the last event of this node as it is sent to the others. Its Prev is the number of the entry before it: events
-// between the two were superseded or have expired, so others may accept the event without them. Events up to the floor were evicted
-// at this node. They are not reported as lost, because other nodes may still have them, and a node that lacks them can fetch them.
+// newestOwn returns the last event of this node as it is sent to the others. Its Prev is the number of the entry before it, or the
+// floor of the log if that is higher. Events after Prev were superseded or have expired, so that others may accept the event without
+// them. Events up to the floor were evicted at this node. They are not reported as lost, because other nodes may still have them, and
+// a node that lacks them must fetch them there.
 func (n *Node) newestOwn(now time.Duration) Event {
 	own := n.store.own
 	last := len(own.entries) - 1
--- a/internal/changefeed/publish_test.go
+++ b/internal/changefeed/publish_test.go
@@ -19,7 +19,8 @@
 	}{
 		{name: "empty key", key: "", lifetime: time.Second, wantError: ErrKey, wantProblem: "length is 0 bytes"},
 		{name: "long key", key: strings.Repeat("x", MaxKeyBytes+1), lifetime: time.Second, wantError: ErrKey, wantProblem: "length is 129 bytes"},
-		{name: "long payload", key: "k", lifetime: time.Second, payload: make([]byte, MaxPayloadBytes+1), wantError: ErrPayload, wantProblem: "length is 65537 bytes"},
+		{name: "long payload", key: "k", lifetime: time.Second, payload: make([]byte, MaxPayloadBytes+1),
+			wantError: ErrPayload, wantProblem: "length is 65537 bytes"},
 		{name: "no lifetime", key: "k", lifetime: 0, wantError: ErrLifetime, wantProblem: ": 0s, must be"},
 		{name: "long lifetime", key: "k", lifetime: MaxLifetime + 1, wantError: ErrLifetime, wantProblem: ": 1000h"},
 	} {
--- a/internal/changefeed/reader.go
+++ b/internal/changefeed/reader.go
@@ -44,7 +44,7 @@
 	Expired    int `json:"expired"`
 	Invalid    int `json:"strange"`
 	Old        int `json:"old"`
-	Losses     int `json:"short"` // events whose LostUpTo was ahead of the reader, which reports events as lost for good
+	Losses     int `json:"short"` // number of times that events were reported as lost for good
 	Superseded int `json:"superseded"`
 }
 
--- a/internal/changefeed/selector.go
+++ b/internal/changefeed/selector.go
@@ -67,7 +67,7 @@
 	active        string        // machine that the director subscribes at; "" while no link is up
 	draws         uint64        // number of random numbers drawn
 	noMovesBefore time.Duration // no link is moved before this time
-	unlinkedSince time.Duration // when the last link went down; Never while a link is up
+	unlinkedSince time.Duration // start of the present time without a link; Never while a link is up
 	actions       []Action      // actions that the present call will return
 	counts        SelectorCounts
 }
--- a/internal/changefeed/selector_loss_test.go
+++ b/internal/changefeed/selector_loss_test.go
@@ -174,7 +174,7 @@
 			remaining += len(test.machines) - size
 		}
 		meanLinks, meanActives := float64(sumLinks)/float64(remaining), float64(sumActives)/float64(remaining)
-		t.Logf("%d lost, %d sets: links at most %d, mean %.1f; subscriptions at most %d, mean %.1f; one machine took over at most %.2f times the mean",
+		t.Logf("%d lost, %d sets: links at most %d, mean %.1f; subscriptions at most %d, mean %.1f; taken over at most %.2f times the mean",
 			size, len(sets), maxLinks, meanLinks, maxActives, meanActives, maxGain)
 		if float64(maxLinks) > 1.4*meanLinks || float64(maxActives) > 1.7*meanActives || maxGain > 1.8 {
 			t.Errorf("%d lost: got at most %d links, %d subscriptions and %.2f times the mean taken over by one machine, "+
--- a/internal/changefeed/selector_sim_test.go
+++ b/internal/changefeed/selector_sim_test.go
@@ -124,13 +124,15 @@
 	selector.t.Helper()
 	links, active := selector.linkSelector.Links(), selector.linkSelector.Active()
 	if !maps.Equal(links, selector.links) || active != selector.active {
-		selector.t.Fatalf("%v: got links %v, active %q, want %v, %q according to the actions", selector.now, links, active, selector.links, selector.active)
+		selector.t.Fatalf("%v: got links %v, active %q, want %v, %q according to the actions",
+			selector.now, links, active, selector.links, selector.active)
 	}
 	if len(links) > 3 {
 		selector.t.Fatalf("%v: got links %v, want at most 3", selector.now, links)
 	}
 	if (active == "") != (selector.linked() == 0) {
-		selector.t.Fatalf("%v: got active %q with %d links up, want an active one if and only if a link is up", selector.now, active, selector.linked())
+		selector.t.Fatalf("%v: got active %q with %d links up, want an active one if and only if a link is up",
+			selector.now, active, selector.linked())
 	}
 	wantZero := selector.linked() > 0 || selector.now == selector.linkSelector.unlinkedSince
 	if unlinkedFor := selector.linkSelector.UnlinkedFor(selector.now); (unlinkedFor == 0) != wantZero {
--- a/internal/changefeed/selector_test.go
+++ b/internal/changefeed/selector_test.go
@@ -70,7 +70,8 @@
 		selector.run(10*time.Minute, outages)
 		counts := selector.linkSelector.Counts()
 		if counts.Moves > 30 || counts.Lost > 40 || len(selector.dialTimes) > 110 {
-			t.Errorf("%s: got counts %+v and %d dials, want at most 30 moves, 40 lost links and 110 dials", directorName, counts, len(selector.dialTimes))
+			t.Errorf("%s: got counts %+v and %d dials, want at most 30 moves, 40 lost links and 110 dials",
+				directorName, counts, len(selector.dialTimes))
 		}
 		if selector.unlinkedFor > 0 {
 			t.Errorf("%s: got %v without a link, want none", directorName, selector.unlinkedFor)
--- a/internal/changefeed/sim_check_test.go
+++ b/internal/changefeed/sim_check_test.go
@@ -44,7 +44,8 @@
 		sim.fail("%s accepted %v:%d with a lifetime that is wrong by %v", receiver, published.id, published.number, deviation)
 	}
 	if event.Key != published.key || event.Fence != published.fence || string(event.Payload) != fmt.Sprint(published.payload) {
-		sim.fail("%s accepted %v:%d with the key %q, fencing number or payload %q of another event", receiver, published.id, published.number, event.Key, event.Payload)
+		sim.fail("%s accepted %v:%d with the key %q, fencing number or payload %q of another event",
+			receiver, published.id, published.number, event.Key, event.Payload)
 	}
 }
 
--- a/internal/changefeed/sim_run_test.go
+++ b/internal/changefeed/sim_run_test.go
@@ -65,7 +65,8 @@
 			withExpected++
 		}
 	}
-	if withExpected < *schedules*9/10 { // in a few schedules all control machines restart at about the same time, so that no event is expected at the end
+	// In a few schedules all control machines restart at about the same time, so that no event is expected at the end.
+	if withExpected < *schedules*9/10 {
 		t.Errorf("got %d of %d schedules with expected events at the end, want at least nine tenths", withExpected, *schedules)
 	}
 	if min(skipped, losses, gaps, forgedClaims, restarts, superseded) == 0 {
--- a/internal/changefeed/sim_traffic_test.go
+++ b/internal/changefeed/sim_traffic_test.go
@@ -260,7 +260,8 @@
 func (sim *simulation) checkDirectorAccepted(receiver string, follower *director, event *carriedEvent, delay time.Duration) {
 	id := epochID{event.Origin, event.Epoch}
 	if event.Fence < follower.fences[event.Key] {
-		sim.fail("%s accepted %v:%d with fencing number %d after %d for key %s", receiver, id, event.Number, event.Fence, follower.fences[event.Key], event.Key)
+		sim.fail("%s accepted %v:%d with fencing number %d after %d for key %s",
+			receiver, id, event.Number, event.Fence, follower.fences[event.Key], event.Key)
 	}
 	follower.fences[event.Key] = event.Fence
 	published := sim.event(id, event.Number)
--- a/internal/changefeed/store_test.go
+++ b/internal/changefeed/store_test.go
@@ -120,7 +120,7 @@
 	}
 	node.Publish(2*time.Second, "new", time.Second, make([]byte, MaxPayloadBytes))
 	expectEqual(t, "evicted", node.Counts().Evicted, 0)
-	expectEqual(t, "stored events", numbers(node.Next(2*time.Second, node.Subscribe(nil), 1<<30)), []string{"a 1:(0,1]", "a 1:(1,2]", "a 1:(2,5]"})
+	expectEqual(t, "stored", numbers(node.Next(2*time.Second, node.Subscribe(nil), 1<<30)), []string{"a 1:(0,1]", "a 1:(1,2]", "a 1:(2,5]"})
 }
 
 // TestLogsPerOriginAreBounded checks that the logs of logEpochs epochs of an origin are kept while they have live events. One more
--- a/internal/peer/clock_test.go
+++ b/internal/peer/clock_test.go
@@ -13,7 +13,7 @@
 func fixedClock(t time.Time) func() time.Time { return func() time.Time { return t } }
 
 // openBusWithClock is like openBus, with the given wall clock.
-func openBusWithClock(t *testing.T, name, listen string, peers map[string]string, received *receivedMessages, wallClock func() time.Time) *Bus {
+func openBusWithClock(t *testing.T, name, listen string, peers map[string]string, received *receivedMessages, clock func() time.Time) *Bus {
 	t.Helper()
 	return mustOpen(t, Options{
 		Name:          name,
@@ -22,7 +22,7 @@
 		Log:           logTo(io.Discard),
 		Handlers:      map[string]func(Sender, []byte){"t": received.receive},
 		QueryHandlers: answerWho(name),
-		WallClock:     wallClock,
+		WallClock:     clock,
 	})
 }
 
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -207,8 +207,8 @@
 	return err
 }
 
-// handleData passes a message to the handler of its topic. It returns false if the message is from or to another incarnation. Then all
-// later messages of this connection would be so too.
+// handleData passes a message to the handler of its topic. It returns false if the message is from or to another incarnation, because
+// the same would hold for all later messages of this connection.
 func (c *inbound) handleData(data dataFrame) (current bool) {
 	b := c.bus
 	handle := b.options.Handlers[data.topic]
--- a/internal/peer/scale_test.go
+++ b/internal/peer/scale_test.go
@@ -230,7 +230,7 @@
 }
 
 // BenchmarkScaleSubscribers measures dialling, accepting and closing the connection of one subscriber while a number of others are
-// idle. The processor time is that of both sides together, so it is an upper limit of what a control machine needs to accept one.
+// idle. The processor time is that of both sides together, so it is an upper bound for what a control machine needs to accept one.
 func BenchmarkScaleSubscribers(b *testing.B) {
 	for _, idle := range []int{16, 32, 65, 129, 258} {
 		b.Run(fmt.Sprintf("subscribers=%d", idle), func(b *testing.B) {
--- a/internal/peer/uplink_test.go
+++ b/internal/peer/uplink_test.go
@@ -396,7 +396,7 @@
 	}
 
 	checkStatusAfterFailover(t, uplinks.Status())
-	eventually(t, "no subscriber is connected to the closed control machine", func() bool { return active.Status().Subscribers.Connected == 0 })
+	eventually(t, "the closed control machine has no subscriber", func() bool { return active.Status().Subscribers.Connected == 0 })
 	publisherOfActive.checkDisconnected(t, 0)
 }
 
@@ -626,13 +626,13 @@
 	defer uplinks.Close()
 
 	uplinks.SetControl([]ControlMachine{controlMachine("north", "north1", "a", movedA.Addr()), atB})
-	eventually(t, "the new address is connected", func() bool { return uplinks.Status().Up == 2 && movedA.Status().Subscribers.Connected == 1 })
+	eventually(t, "the new address is linked", func() bool { return uplinks.Status().Up == 2 && movedA.Status().Subscribers.Connected == 1 })
 	if n := b.Status().Subscribers.Accepted; n != 1 {
 		t.Errorf("connections that b accepted: got %d, want 1", n)
 	}
 
 	uplinks.SetControl([]ControlMachine{controlMachine("west", "west1", "c", c.Addr()), atB})
-	eventually(t, "the new machine is connected", func() bool {
+	eventually(t, "the new machine is linked", func() bool {
 		s := uplinks.Status()
 		return s.Up == 2 && stateOfLink(uplinks, "c") == "up" && stateOfLink(uplinks, "a") == "unlisted"
 	})
--- a/internal/peer/uplinks.go
+++ b/internal/peer/uplinks.go
@@ -26,7 +26,7 @@
 	Name    string           // name of the director
 	Place   changefeed.Place // place of the director
 	Control []ControlMachine // control machines, of which the selector chooses two
-	Spread  time.Duration    // time over which the first dials, and those after losses, are spread: directors must not all dial at once
+	Spread  time.Duration    // first dials and dials after losses are spread over it at random, so that directors do not all dial at once
 	Seed    uint64           // seed of the random choices; directors should have different seeds
 	Log     *logrus.Entry    // nil disables logging
 	// Subscription returns the message that is sent on a link when the link becomes active, and again after Resubscribe. If the
