--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -223,7 +223,7 @@
 // only, nothing of the file is applied and the error is a *RestartError.
 func (f *Follower) Reload(file *clusterconfig.File) error {
 	f.mu.Lock()
-	if keys := file.FixedDifferences(f.file, f.name); len(keys) > 0 {
+	if keys := file.ChangesRequiringRestart(f.file, f.name); len(keys) > 0 {
 		f.mu.Unlock()
 		return &RestartError{Keys: keys}
 	}
