--- a/internal/cluster/feed_test.go
+++ b/internal/cluster/feed_test.go
@@ -148,7 +148,7 @@
 	began := time.Now()
 	await(t, "caught up", func() bool { return follower.Status().Feed.Accepted == events })
 	took, status := time.Since(began), follower.Status()
-	received := float64(status.Uplinks.Received)
+	received := float64(status.Uplinks.ReceivedBytes)
 	t.Logf("%.0f bytes in all, %.1f bytes for each purge with its frame, in %v", received, (received-configurationBytes)/purges, took)
 
 	if received > maxReceivedBytes {
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -98,14 +98,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.uplinks = peer.OpenUplinks(peer.UplinkOptions{
-		Name:         f.name,
-		Place:        f.file.Place(f.name),
-		Control:      controlMachines(f.file),
-		Spread:       f.file.Uplink.Spread.Duration(),
-		Seed:         seed.Sum64() ^ uint64(f.start.UnixNano()),
-		Log:          f.log,
-		Subscription: f.subscription,
-		Handler:      f.handleMessage,
+		Name:            f.name,
+		Place:           f.file.Place(f.name),
+		ControlMachines: controlMachines(f.file),
+		Spread:          f.file.Uplink.Spread.Duration(),
+		Seed:            seed.Sum64() ^ uint64(f.start.UnixNano()),
+		Log:             f.log,
+		Subscription:    f.subscription,
+		Handler:         f.handleMessage,
 	})
 }
 
@@ -230,7 +230,7 @@
 	f.file = file
 	f.reader.SetOrigins(file.ControlNames())
 	f.mu.Unlock()
-	f.uplinks.SetControl(controlMachines(file))
+	f.uplinks.SetControlMachines(controlMachines(file))
 	f.log.WithField("control", len(file.Control)).Info("operator file reloaded")
 	return nil
 }
--- a/internal/cluster/log.go
+++ b/internal/cluster/log.go
@@ -21,7 +21,7 @@
 // warn writes a warning with the number of warnings skipped since the last one written. Above the rate it skips the warning.
 func (l *rateLimitedLog) warn(log *logrus.Entry, message string) {
 	l.mu.Lock()
-	skipped, ok := l.limit.Pass(time.Now())
+	skipped, ok := l.limit.Allow(time.Now())
 	l.mu.Unlock()
 	if ok {
 		log.WithField("skipped", skipped).Warn(message)
