--- a/cmd/director/clients_test.go
+++ b/cmd/director/clients_test.go
@@ -16,7 +16,7 @@
 type sentRequest struct {
 	written    time.Time     // time at which its last byte was written
 	deadline   time.Duration // its timeout
-	responses  int           // responses received
+	responses  int           // number of responses received
 	answeredAt time.Time     // time of the first response
 }
 
@@ -27,12 +27,12 @@
 
 	mu      sync.Mutex              // guards the fields below
 	sent    map[uint32]*sentRequest // by message id
-	open    int                     // requests without a response
+	open    int                     // number of requests without a response
 	endedAt time.Time
 	lastID  uint32
 }
 
-// connect opens a connection. A goroutine reads its responses until it ends.
+// connect opens a connection. A goroutine reads its responses until the connection ends.
 func connect(address string) (*connection, error) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -43,7 +43,7 @@
 	return c, nil
 }
 
-// read records responses until the stream ends.
+// read records responses until the stream of responses ends.
 func (c *connection) read() {
 	defer close(c.ended)
 	in := bufio.NewReader(c.conn)
@@ -75,8 +75,7 @@
 	}
 }
 
-// send writes a request in a number of pieces, with a pause after each but the last. It returns false where the connection accepts no
-// more bytes.
+// send writes a request in a number of pieces, with a pause after each piece except the last. It returns false if the write fails.
 func (c *connection) send(class string, deadline time.Duration, pieces int, pause time.Duration) bool {
 	id, request := c.record(deadline)
 	unique := nextRequestNumber()
@@ -92,7 +91,7 @@
 	err := writeInPieces(c.conn, message, pieces, pause)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if err != nil { // the request is not complete, so no response is due
+	if err != nil { // the request is incomplete, so no response is expected
 		delete(c.sent, id)
 		c.open--
 		return false
@@ -101,7 +100,7 @@
 	return true
 }
 
-// record records a request before it is written, since its response may come before the write returns. It returns the message id.
+// record records a request before it is written, because its response may arrive before the write returns. It returns the message id.
 func (c *connection) record(deadline time.Duration) (id uint32, request *sentRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +111,7 @@
 	return c.lastID, request
 }
 
-// writeInPieces writes a message in a number of pieces, with a pause after each but the last.
+// writeInPieces writes a message in a number of pieces, with a pause after each piece except the last.
 func writeInPieces(conn net.Conn, message []byte, pieces int, pause time.Duration) error {
 	for left := pieces; left > 0; left-- {
 		length := len(message) / left
@@ -137,10 +136,10 @@
 // requestNumber is the number of the last request that any client sent.
 var requestNumber atomic.Uint64
 
-// nextRequestNumber returns a number that no request has had.
+// nextRequestNumber returns a number that no request has used.
 func nextRequestNumber() uint64 { return requestNumber.Add(1) }
 
-// clientGroup is the clients of one trial. They send until stop is closed.
+// clientGroup contains the clients of one trial. They send requests until stop is closed.
 type clientGroup struct {
 	address   string
 	classes   []string
@@ -153,12 +152,12 @@
 }
 
 const (
-	maxOpen         = 30                    // requests in flight on one connection; the protocol allows 32
-	pieceInterval   = 25 * time.Millisecond // pause between the pieces of a message
-	oneShotDuration = 2 * time.Second       // time after which the connection of a single request is closed, answered or not
+	maxOpen        = 30                    // requests in flight on one connection; the protocol allows 32
+	pieceInterval  = 25 * time.Millisecond // pause between the pieces of a message
+	oneShotTimeout = 2 * time.Second       // time after which a connection with a single request is closed, with or without a response
 )
 
-// connect opens a connection of the group. It returns nil where the process accepts none.
+// connect opens a connection of the group. It returns nil if the process accepts no connection.
 func (g *clientGroup) connect() *connection {
 	conn, err := connect(g.address)
 	if err != nil {
@@ -170,13 +169,14 @@
 	return conn
 }
 
-// send sends a request in a number of pieces. Number counts the requests of a client, which sends each class in turn.
+// send sends a request in a number of pieces. Number counts the requests of one client and selects the class, so that the classes
+// alternate.
 func (g *clientGroup) send(conn *connection, number, pieces int) bool {
 	class := number % len(g.classes)
 	return conn.send(g.classes[class], g.deadlines[class], pieces, pieceInterval)
 }
 
-// repeat calls send with 0, 1, 2 and so on at an interval until the group is stopped.
+// repeat calls send at an interval, with the numbers 0, 1, 2 and so on, until the group is stopped.
 func (g *clientGroup) repeat(interval time.Duration, send func(number int)) {
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
@@ -190,7 +190,7 @@
 	}
 }
 
-// sendSteadily sends requests on one connection. Once that ends, it opens a new one, as long as the process accepts any.
+// sendSteadily sends requests on one connection. When that ends, it opens a new one, as long as the process accepts connections.
 func (g *clientGroup) sendSteadily(interval time.Duration, pieces int) {
 	conn := g.connect()
 	g.repeat(interval, func(number int) {
@@ -204,18 +204,18 @@
 	})
 }
 
-// sendOnNewConnections opens a connection for each request.
+// sendOnNewConnections opens a new connection for each request.
 func (g *clientGroup) sendOnNewConnections(interval time.Duration) {
 	g.repeat(interval, func(number int) {
 		if conn := g.connect(); conn != nil {
 			g.send(conn, number, 1)
-			time.AfterFunc(oneShotDuration, func() { conn.conn.Close() })
+			time.AfterFunc(oneShotTimeout, func() { conn.conn.Close() })
 		}
 	})
 }
 
-// sendOnIdleConnections opens a number of connections at once, and sends one request on each: on the first at a given time, on the
-// others at an interval after it.
+// sendOnIdleConnections opens a number of connections immediately, and later sends one request on each: on the first connection at a given
+// time, and on the others one after another at an interval.
 func (g *clientGroup) sendOnIdleConnections(count int, first time.Time, interval time.Duration) {
 	var idle []*connection
 	for range count {
@@ -237,7 +237,7 @@
 		select {
 		case <-conn.ended:
 		case <-time.After(5 * time.Second):
-			t.Error("a connection outlives the process")
+			t.Error("a connection is still open after the process has ended")
 		}
 	}
 }
--- a/cmd/director/faults_test.go
+++ b/cmd/director/faults_test.go
@@ -16,14 +16,15 @@
 	"indigochute.example/indigochute/internal/msgpack"
 )
 
-// reloadTrial is a director whose configuration file is replaced by faulty ones.
+// reloadTrial is a director whose configuration file is replaced with faulty ones.
 type reloadTrial struct {
 	*process
 	service *discoveryService // discovery service that the director watches
-	nodes   int               // nodes that were listed so far
+	nodes   int               // number of nodes listed so far
 }
 
-// listNode lists a new node in place of the last one and waits until it serves. That shows that the director follows its watch.
+// listNode replaces the listed node with a new one and waits until that serves a request, which shows that the director still applies the
+// events of its watch.
 func (r *reloadTrial) listNode() {
 	r.t.Helper()
 	r.nodes++
@@ -32,8 +33,8 @@
 	r.waitServedBy(next.name)
 }
 
-// reloadFaulty replaces the configuration file by what prepare creates, and sends SIGHUP. It checks that nothing changes and that one
-// log line says why, then restores the file. Cause is a part of the line.
+// reloadFaulty replaces the configuration file with what prepare creates, and sends SIGHUP. It checks that the director keeps its
+// configuration and logs one line that contains cause, then restores the file.
 func (r *reloadTrial) reloadFaulty(prepare func() error, cause string) {
 	r.t.Helper()
 	const faulty = "reload: faulty"
@@ -50,10 +51,10 @@
 	r.listNode()
 	reloads := linesWith(strings.TrimPrefix(r.readLog(), logBefore), "reload")
 	if len(reloads) != 1 || !strings.Contains(reloads[0], cause) {
-		r.t.Errorf("the log says %q, want one line with %q", reloads, cause)
+		r.t.Errorf("got log lines %q, want one line with %q", reloads, cause)
 	}
 	if count := r.service.watchCount(); count != 1 {
-		r.t.Errorf("%d watches of discovery so far, want 1", count)
+		r.t.Errorf("got %d watches of the discovery service, want 1", count)
 	}
 	os.RemoveAll(r.path)
 	if err := os.Rename(saved, r.path); err != nil {
@@ -61,7 +62,7 @@
 	}
 }
 
-// linesWith returns the lines of a text that contain a part.
+// linesWith returns the lines of a text that contain a substring.
 func linesWith(text, part string) (lines []string) {
 	for _, line := range strings.Split(text, "\n") {
 		if strings.Contains(line, part) {
@@ -71,9 +72,9 @@
 	return lines
 }
 
-// TestReloadOfUnreadableFiles: SIGHUP with a file that cannot be read completely changes nothing and is logged in one line. The process
-// goes on serving, and keeps its watch of discovery, on the same connection. A valid file then takes effect.
-func TestReloadOfUnreadableFiles(t *testing.T) {
+// TestReloadRejectsUnreadableConfiguration checks that SIGHUP with a file that cannot be read or parsed changes nothing and logs one line.
+// The process continues to serve, and keeps the connection of its watch of the discovery service. A valid file takes effect afterwards.
+func TestReloadRejectsUnreadableConfiguration(t *testing.T) {
 	service := startDiscovery(t, 1)
 	p, _ := startDirector(t, 128, service.Addr().String(), startNamedNode(t, "node 0").Addr().String())
 	trial := &reloadTrial{process: p, service: service}
@@ -88,7 +89,7 @@
 	cases := []struct {
 		name    string
 		cause   string       // part of the log line
-		prepare func() error // creates what path is to name; nothing is there before
+		prepare func() error // creates the file, folder or link at path, where nothing exists
 	}{
 		{"EIO", "input/output error", func() error { return os.Symlink("/proc/self/mem", p.path) }},
 		{"directory", "is a directory", func() error { return os.Mkdir(p.path, 0o700) }},
@@ -98,26 +99,26 @@
 		{"link to itself", "too many levels", func() error { return os.Symlink(p.path, p.path) }},
 	}
 	for _, test := range cases {
-		t.Logf("the file: %s", test.name)
+		t.Logf("configuration file: %s", test.name)
 		trial.reloadFaulty(test.prepare, test.cause)
 	}
 	if count := otherService.watchCount(); count != 0 {
-		t.Errorf("%d watches of the discovery service that only a half-written file names, want none", count)
+		t.Errorf("got %d watches of the discovery service that only a half-written file names, want none", count)
 	}
 	p.replaceConfig(changed)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.waitUntil("a valid file takes no effect", func() bool { return otherService.watchCount() > 0 })
+	p.waitUntil("a valid file does not take effect", func() bool { return otherService.watchCount() > 0 })
 }
 
-// descriptorTrial is a director whose clients take all file descriptors that the system allows it.
+// descriptorTrial is a director whose clients use up all file descriptors that the system allows the process.
 type descriptorTrial struct {
 	*process
 	accepted  []net.Conn      // clients whose connections the director has accepted
 	responses []*bufio.Reader // streams of responses to the accepted clients
-	waiting   []net.Conn      // clients for whose connections it has no descriptors
+	waiting   []net.Conn      // clients for whose connections the director has no descriptors
 }
 
-// fill connects a number of clients that the director accepts, then as many more as leave it no descriptor.
+// fill connects a number of clients that the director accepts, then a number of clients beyond its descriptors.
 func (d *descriptorTrial) fill(accepted, beyond int) {
 	d.t.Helper()
 	for range accepted {
@@ -130,7 +131,7 @@
 	}
 }
 
-// sendAll sends a request of each accepted client, for which the director needs a connection to the node. Each must get a response.
+// sendAll sends a request from each accepted client, for which the director needs a connection to the node. Each must get a response.
 func (d *descriptorTrial) sendAll() (served, rejected int) {
 	d.t.Helper()
 	for _, conn := range d.accepted {
@@ -140,7 +141,7 @@
 	for _, in := range d.responses {
 		switch response, err := msgpack.ReadResponse(in); {
 		case err != nil:
-			d.t.Errorf("no response: %v", err)
+			d.t.Errorf("got no response: %v", err)
 		case string(response.Body) == "node":
 			served++
 		default:
@@ -150,20 +151,21 @@
 	return served, rejected
 }
 
-// recovery is how a director serves after its clients have closed their connections.
+// recovery describes how a director serves requests after its clients have closed their connections.
 type recovery struct {
-	time   time.Duration // from the close until the first request of the last streak
-	streak int           // requests served one after another
-	missed int           // requests not served
+	time     time.Duration // from the close to the first request of the last streak
+	streak   int           // number of consecutive requests that were served, up to the last request
+	unserved int           // number of requests that were not served
 }
 
-// recover closes all clients, then sends one request after another until a streak of them is served, for 10 s at most.
+// recover closes all clients, then sends one request after another until streakWanted consecutive requests are served, for 10 s at most.
 func (d *descriptorTrial) recover(streakWanted int) recovery {
 	const timeout = 10 * time.Second
 	for _, conn := range slices.Concat(d.accepted, d.waiting) {
 		conn.Close()
 	}
-	// Connections that still wait in the system's queue take descriptors once more, as they are accepted and found closed.
+	// Connections that still wait in the system's queue use descriptors again for a moment, until the director has accepted them and found
+	// them closed.
 	closed := time.Now()
 	result := recovery{}
 	for result.streak < streakWanted && time.Since(closed) < timeout {
@@ -171,7 +173,7 @@
 		response, err := d.process.request()
 		if err != nil || string(response.Body) != "node" {
 			result.streak = 0
-			result.missed++
+			result.unserved++
 			continue
 		}
 		result.streak++
@@ -182,13 +184,13 @@
 	return result
 }
 
-// TestDescriptorsRunOut: the system allows the process far fewer descriptors than its configuration says, so that accepting clients and
-// connecting to nodes fail with EMFILE while clients hold the descriptors. Each request that is accepted gets a response. Once the
-// clients have gone, all requests are served at once, since the node had no fault.
-func TestDescriptorsRunOut(t *testing.T) {
+// TestRecoveryFromDescriptorExhaustion runs a director with far fewer descriptors than its configuration states, so that accepting clients
+// and connecting to nodes fail with EMFILE while clients hold the descriptors. Each accepted request must get a response. Once the clients
+// have closed their connections, all requests must be served immediately, because no node had a fault.
+func TestRecoveryFromDescriptorExhaustion(t *testing.T) {
 	const (
 		descriptors  = 40
-		sockets      = 400 // limit of the configuration
+		sockets      = 400 // limit in the configuration
 		fault        = "too many open files"
 		streakWanted = 30
 		maxRecovery  = time.Second
@@ -206,13 +208,13 @@
 		p.waitLogged(fault, faultsBefore+1)
 		served, rejected := trial.sendAll()
 		recovered := trial.recover(streakWanted)
-		t.Logf("round %d: of %d requests during EMFILE %d served, %d rejected; %d missed afterwards; all served from %v on",
-			round, len(trial.responses), served, rejected, recovered.missed, recovered.time.Round(time.Millisecond))
+		t.Logf("round %d: of %d requests during EMFILE, %d served and %d rejected; afterwards %d not served, and all served after %v",
+			round, len(trial.responses), served, rejected, recovered.unserved, recovered.time.Round(time.Millisecond))
 		if recovered.streak < streakWanted || recovered.time > maxRecovery {
-			t.Errorf("round %d: the director does not recover within %v: %s", round, maxRecovery, p.readLog())
+			t.Errorf("round %d: the director has not recovered within %v: %s", round, maxRecovery, p.readLog())
 		}
 	}
 	if lines := strings.Count(p.readLog(), fault); lines > maxLogLines {
-		t.Errorf("%d log lines of one fault, want %d at most", lines, maxLogLines)
+		t.Errorf("got %d log lines for one fault, want at most %d", lines, maxLogLines)
 	}
 }
--- a/cmd/director/main.go
+++ b/cmd/director/main.go
@@ -1,4 +1,4 @@
-// Director runs one director. It is the lean build for the platform: it links only the packages that serving there needs.
+// Director runs one director. It is the minimal build for deployment: it links only the packages that are needed to serve.
 package main
 
 import (
@@ -20,25 +20,26 @@
 	exitUsageError = 2 // the command line is wrong; nothing was done
 )
 
-// usage is printed with the flags for --help and after a wrong command line.
+// usage is printed, followed by the flags, for --help and after a usage error.
 const usage = `usage: director COMMAND [flags]
 
-  serve        serve clients as the file that ROUTER_CONFIG names tells
-  check FILE   read a configuration and report what it says, or its first fault
+  serve        serve clients with the configuration file that ROUTER_CONFIG names
+  check FILE   check a configuration and print a summary or its first error
   version      print the version
 `
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run runs a command line, without the program's name, and returns the exit code. Errors and the log go to stderr.
+// run runs the command line in args, which does not contain the program's name, and returns the exit code. Errors and log lines go to
+// stderr.
 func run(args []string, stdout, stderr io.Writer) int {
 	flags := pflag.NewFlagSet("director", pflag.ContinueOnError)
 	flags.SetOutput(stderr)
-	verbose := flags.BoolP("verbose", "v", false, "log each req as well")
+	verbose := flags.BoolP("verbose", "v", false, "also log each request")
 	flags.Usage = func() { fmt.Fprintf(stderr, "%s\nflags:\n%s", usage, flags.FlagUsages()) }
 	err := flags.Parse(args)
 	if errors.Is(err, pflag.ErrHelp) {
-		return exitSuccess // Parse has printed the usage
+		return exitSuccess // Parse has already printed the usage
 	}
 	if err != nil {
 		fmt.Fprintln(stderr, "director:", err)
@@ -62,7 +63,7 @@
 	return exitSuccess
 }
 
-// serveOptions returns the options of serving. Verbose logs each request.
+// serveOptions returns the options for service.Serve. If verbose is set, each request is logged.
 func serveOptions(verbose bool) service.Options {
 	if verbose {
 		return service.Options{Level: logrus.DebugLevel}
--- a/cmd/director/main_test.go
+++ b/cmd/director/main_test.go
@@ -20,12 +20,12 @@
 		name string
 		args string
 		code int
-		want string // part of what is printed
+		want string // part of the output
 	}{
 		{"no command", "", 2, "sage"},
 		{"help", "--help", 0, "sage"},
 		{"unknown command", "dance", 2, "sage"},
-		{"argument too many", "serve twice", 2, "sage"},
+		{"too many arguments", "serve twice", 2, "sage"},
 		{"unknown flag", "--loud", 2, "loud"},
 		{"version", "version", 0, "indigochute"},
 		{"serve without a configuration", "serve", 1, "ROUTER_CONFIG"},
@@ -38,7 +38,7 @@
 			var stdout, stderr bytes.Buffer
 			code := run(strings.Fields(test.args), &stdout, &stderr)
 			if printed := stdout.String() + stderr.String(); code != test.code || !strings.Contains(printed, test.want) {
-				t.Errorf("%q: exit %d, want %d and %q in %s", test.args, code, test.code, test.want, printed)
+				t.Errorf("%q: got exit code %d, want %d and %q in the output: %s", test.args, code, test.code, test.want, printed)
 			}
 		})
 	}
--- a/cmd/director/process_test.go
+++ b/cmd/director/process_test.go
@@ -21,11 +21,11 @@
 
 // Environment variables of the test binary.
 const (
-	processVariable = "DIRECTOR_PROCESS" // where set, the binary runs as the program, with serve
-	startsVariable  = "DIRECTOR_STARTS"  // number of starts that TestStartsAreReady makes
+	processVariable = "DIRECTOR_PROCESS" // if set, the binary runs as the program with the command serve
+	startsVariable  = "DIRECTOR_STARTS"  // number of starts in TestStartupTime
 )
 
-// TestMain runs the program instead of the tests where processVariable is set, for tests that need a director's process.
+// TestMain runs the program instead of the tests if processVariable is set. Tests that need the process of a director start it this way.
 func TestMain(m *testing.M) {
 	if os.Getenv(processVariable) != "" {
 		os.Exit(run([]string{"serve"}, os.Stdout, os.Stderr))
@@ -36,24 +36,24 @@
 // unreachable is an address at which nothing listens.
 const unreachable = "127.0.0.1:1"
 
-// How long a test waits.
+// Timeouts of the tests.
 const (
 	startTimeout    = 30 * time.Second // for a director to be ready
 	endTimeout      = 10 * time.Second // for a director to end
 	responseTimeout = 5 * time.Second  // for a response, a log line or a connection
 )
 
-// process is a director's process.
+// process is the process of a director.
 type process struct {
 	t    *testing.T
 	cmd  *exec.Cmd
-	addr string     // address at which it listens for clients
+	addr string     // address at which the director listens for clients
 	path string     // path of its configuration
-	done chan error // receives the result of the process once it has ended
+	done chan error // receives the result of the process when it has ended
 }
 
-// configuration is the format of a configuration, which needs the address to listen at, the address of the discovery service, the number
-// of sockets and the address of the one cache.
+// configuration is the format string of a configuration. Its arguments are the address to listen at, the address of the discovery service,
+// the number of sockets and the address of the only cache.
 const configuration = `{"name":"n0","listen":%q,"seed":"0000000000000007","journal":%q,
  "limits":{"cores":1,"memory_mb":64,"sockets":%d},
  "known":{"pos":1,"entries":[{"pos":1,"hosts":{"whole":true,"hosts":[
@@ -70,15 +70,15 @@
 	return fmt.Sprintf(configuration, listen, discoveryAddr, sockets, nodeAddr)
 }
 
-// startDirector starts a director that may open a number of sockets, both by its configuration and by the system's limit, and waits
-// until it is ready. It returns how long that took.
+// startDirector starts a director and waits until it is ready. The configuration and the system both limit it to the given number of
+// sockets. It returns how long the start took.
 func startDirector(t *testing.T, sockets int, discoveryAddr, nodeAddr string) (*process, time.Duration) {
 	t.Helper()
 	return startWith(t, sockets, func(listen string) string { return configure(listen, sockets, discoveryAddr, nodeAddr) })
 }
 
-// startWith starts a director and waits until it is ready. It returns how long that took. Descriptors is the system's limit of its file
-// descriptors. NewConfig returns its configuration for the address to listen at. The process is killed at the end of the test.
+// startWith starts a director and waits until it is ready. It returns how long the start took. Descriptors is the system's limit on its
+// file descriptors. NewConfig returns its configuration for a given listen address. The process is killed at the end of the test.
 func startWith(t *testing.T, descriptors int, newConfig func(listen string) string) (*process, time.Duration) {
 	t.Helper()
 	p := &process{t: t, addr: freeAddress(t), path: filepath.Join(t.TempDir(), "config.json"), done: make(chan error, 1)}
@@ -89,7 +89,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close() // the process has a descriptor of its own
+	defer log.Close() // the process has its own descriptor
 	p.cmd.Stderr = log
 	start := time.Now()
 	if err := p.cmd.Start(); err != nil {
@@ -117,7 +117,7 @@
 	return listener.Addr().String()
 }
 
-// isReady reports whether the process accepts a connection and responds to a readiness check on it that it is ready.
+// isReady reports whether the process accepts a connection and responds ready to a readiness check on it.
 func (p *process) isReady() bool {
 	conn, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -149,7 +149,7 @@
 // logPath is the path of the file that the process logs to.
 func (p *process) logPath() string { return p.path + ".log" }
 
-// readLog returns what the process has logged so far.
+// readLog returns the log of the process so far.
 func (p *process) readLog() string {
 	p.t.Helper()
 	log, err := os.ReadFile(p.logPath())
@@ -159,20 +159,20 @@
 	return string(log)
 }
 
-// waitSuccess waits until the process ends. It must end by itself, with exit code 0.
+// waitSuccess waits until the process ends. It must end without a kill and with exit code 0.
 func (p *process) waitSuccess() {
 	p.t.Helper()
 	select {
 	case err := <-p.done:
 		if err != nil {
-			p.t.Errorf("ended with %v: %s", err, p.readLog())
+			p.t.Errorf("got %v at the end of the process, want exit code 0: %s", err, p.readLog())
 		}
 	case <-time.After(endTimeout):
 		p.t.Errorf("the process has not ended after %v", endTimeout)
 	}
 }
 
-// dial connects a client to the process until the end of the test.
+// dial connects a client to the process. The connection is closed at the end of the test.
 func (p *process) dial() net.Conn {
 	p.t.Helper()
 	conn, err := net.Dial("tcp", p.addr)
@@ -183,7 +183,7 @@
 	return conn
 }
 
-// descriptors returns the number of the process's open file descriptors, or 0 where the system does not report them.
+// descriptors returns the number of open file descriptors of the process, or 0 if the system does not report them.
 func (p *process) descriptors() int {
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
@@ -192,7 +192,7 @@
 	return len(open)
 }
 
-// listen listens at an address until the end of the test. Port 0 stands for any free port.
+// listen listens at an address until the end of the test. Port 0 selects any free port.
 func listen(t *testing.T, address string) *net.TCPListener {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -220,9 +220,9 @@
 	return conn, err
 }
 
-// TestStartsAreReady: nine in ten starts are ready within 10 s. The environment variable DIRECTOR_STARTS sets the number of starts, for
-// a distribution.
-func TestStartsAreReady(t *testing.T) {
+// TestStartupTime checks that nine in ten starts are ready within 10 s. The environment variable DIRECTOR_STARTS sets the number of starts,
+// for measuring the distribution of the startup time.
+func TestStartupTime(t *testing.T) {
 	starts := 10
 	if count, err := strconv.Atoi(os.Getenv(startsVariable)); err == nil {
 		starts = count
@@ -236,15 +236,17 @@
 	}
 	slices.Sort(durations)
 	nineInTen := durations[starts*9/10]
-	t.Logf("%d starts: least %v, half within %v, nine in ten %v, all %v", starts, durations[0], durations[starts/2], nineInTen, durations[starts-1])
+	t.Logf("%d starts: fastest %v, half within %v, nine in ten within %v, all within %v", starts, durations[0], durations[starts/2],
+		nineInTen, durations[starts-1])
 	if nineInTen > 10*time.Second {
-		t.Errorf("nine in ten are ready after %v, want 10s at most", nineInTen)
+		t.Errorf("nine in ten starts are ready after %v, want at most 10s", nineInTen)
 	}
 }
 
-// TestIdleClientsFillTheDescriptors: more idle clients than descriptors connect while discovery is down. Once discovery is back, its
-// watch, a new client and a connection to a node still get descriptors. The process never runs out of them.
-func TestIdleClientsFillTheDescriptors(t *testing.T) {
+// TestIdleClientsLeaveReservedDescriptors connects more idle clients than there are descriptors while the discovery service is down. Once
+// that is back, the watch, a new client and a connection to a node must still get descriptors: idle clients must not use up those
+// reserved for them. The process must never run out of descriptors.
+func TestIdleClientsLeaveReservedDescriptors(t *testing.T) {
 	const sockets = 64
 	node := listenAnywhere(t)
 	discoveryAddr := freeAddress(t)
@@ -253,7 +255,7 @@
 	for i := range 3 * sockets {
 		client := p.dial()
 		if i%2 == 0 && !checkReadiness(client) {
-			t.Fatalf("client %d gets no response", i)
+			t.Fatalf("client %d got no response to a readiness check", i)
 		}
 		maxOpen = max(maxOpen, p.descriptors())
 	}
@@ -261,31 +263,31 @@
 	listener := listen(t, discoveryAddr)
 	watch, err := acceptWithin(t, listener, responseTimeout)
 	if err != nil {
-		t.Fatalf("no watch of discovery: %v", err)
+		t.Fatalf("got no watch of the discovery service: %v", err)
 	}
 	var hello [8]byte
 	if _, err := io.ReadFull(watch, hello[:]); err != nil || binary.BigEndian.Uint64(hello[:]) != 1 {
-		t.Errorf("the watch starts from %v, error %v, want event 1", hello, err)
+		t.Errorf("got hello %v, error %v, want event 1", hello, err)
 	}
 	p.dial().Write(pageRequest(1, 2*time.Second))
 	attempt, err := acceptWithin(t, node, 2*time.Second)
 	if err != nil {
-		t.Fatalf("no attempt at the node: %v", err)
+		t.Fatalf("got no attempt at the node: %v", err)
 	}
 	const requestHead = "*4\r\n"
 	if line, err := bufio.NewReader(attempt).ReadString('\n'); line != requestHead {
-		t.Errorf("the node gets %q, error %v, want %q", line, err, requestHead)
+		t.Errorf("the node got %q, error %v, want %q", line, err, requestHead)
 	}
 	maxOpen = max(maxOpen, p.descriptors())
 	if maxOpen >= sockets || strings.Contains(p.readLog(), "too many open files") {
-		t.Errorf("%d of %d descriptors are open: %s", maxOpen, sockets, p.readLog())
+		t.Errorf("got %d of %d descriptors open, want fewer and no EMFILE: %s", maxOpen, sockets, p.readLog())
 	}
-	t.Logf("%d of %d descriptors at most", maxOpen, sockets)
+	t.Logf("at most %d of %d descriptors were open", maxOpen, sockets)
 }
 
-// TestSignalsThatCross: SIGHUP and two more SIGTERM come during shutdown. The reload takes effect, the open request gets its response,
-// and the process ends successfully.
-func TestSignalsThatCross(t *testing.T) {
+// TestReloadAndRepeatedSIGTERMDuringShutdown sends SIGHUP and two more SIGTERM during shutdown. The reload takes effect, the open request
+// gets its response, and the process ends successfully.
+func TestReloadAndRepeatedSIGTERMDuringShutdown(t *testing.T) {
 	const sockets = 128
 	node := listenAnywhere(t)
 	p, _ := startDirector(t, sockets, unreachable, node.Addr().String())
@@ -304,14 +306,14 @@
 		p.cmd.Process.Signal(signal)
 	}
 	if _, err := acceptWithin(t, newDiscovery, responseTimeout); err != nil {
-		t.Errorf("SIGHUP during shutdown: the new discovery service is not watched: %v", err)
+		t.Errorf("SIGHUP during shutdown: got no watch of the new discovery service: %v", err)
 	}
 	in := bufio.NewReader(client)
 	if response, err := msgpack.ReadResponse(in); err != nil || response.ID != 1 || !response.Rejected {
-		t.Errorf("response %+v, error %v, want a rejection of request 1", response, err)
+		t.Errorf("got response %+v, error %v, want a rejection of request 1", response, err)
 	}
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("after the response: error %v, want EOF", err)
+		t.Errorf("after the response: got error %v, want EOF", err)
 	}
 	client.Close()
 	p.waitSuccess()
--- a/cmd/director/shutdown_test.go
+++ b/cmd/director/shutdown_test.go
@@ -13,30 +13,30 @@
 	"indigochute.example/indigochute/internal/testing/wakeups"
 )
 
-// Figures of the protocol for a planned restart.
+// Times that the protocol defines for a planned restart, and tolerances of the tests.
 const (
 	shutdownServes  = 700 * time.Millisecond // a request written within this time of SIGTERM must get a response
-	shutdownKill    = 700 * time.Millisecond // SIGKILL comes this time and the longest deadline after SIGTERM
-	crossingAllowed = 50 * time.Millisecond  // a request written within this time of the close of its connection may cross the close
-	answerSlack     = 500 * time.Millisecond // time by which a response may miss the deadline
+	shutdownKill    = 700 * time.Millisecond // SIGKILL is sent this time plus the longest deadline after SIGTERM
+	crossingAllowed = 50 * time.Millisecond  // a request written at most this time before its connection closes may cross the close
+	answerSlack     = 500 * time.Millisecond // a response may come this much after the deadline
 )
 
-// closedOverOpen matches a log line about a connection that the director closed while requests were open on it. To a client, these look
-// like requests that crossed the close.
-var closedOverOpen = regexp.MustCompile(`(?m)^.*msg="client connection" ending=stopped (error=\S* )?.*open=[1-9].*$`)
+// closedWithOpenRequests matches a log line about a connection that the director closed while requests on it were open. A client cannot
+// distinguish these from requests that crossed the close.
+var closedWithOpenRequests = regexp.MustCompile(`(?m)^.*msg="client connection" ending=stopped (error=\S* )?.*open=[1-9].*$`)
 
 // shutdownTrial is a director that is shut down under load.
 type shutdownTrial struct {
 	t        *testing.T
 	process  *process
 	clients  *clientGroup
-	lateness wakeups.Meter // lateness of the test's own process
+	lateness wakeups.Meter // lateness of the test process itself
 	signalAt time.Time     // time of SIGTERM
 	killAt   time.Time     // time of SIGKILL, if the process has not ended by then
 }
 
-// startShutdownTrial starts a director with two classes, the second one not idempotent. Deadlines are those of the classes. All nodes are
-// unresponsive.
+// startShutdownTrial starts a director with two classes, of which the second is not idempotent. Deadlines contains the deadline of each
+// class. All nodes are unresponsive.
 func startShutdownTrial(t *testing.T, classes []string, deadlines []time.Duration) *shutdownTrial {
 	t.Helper()
 	const descriptors, furtherNodes = 256, 10
@@ -61,14 +61,14 @@
 	}
 }
 
-// startLoad starts the clients. Those with idle connections send at about the time when the director closes idle connections.
+// startLoad starts the clients. The clients with idle connections send around the time at which the director closes idle connections.
 func (s *shutdownTrial) startLoad() {
 	g := s.clients
 	go s.lateness.Run(g.stop)
 	for range 8 {
 		g.running.Go(func() { g.sendSteadily(15*time.Millisecond, 1) })
 	}
-	for range 3 { // requests are always open, and often some are unread
+	for range 3 { // some requests are always open, and often some are unread
 		g.running.Go(func() { g.sendSteadily(2*time.Millisecond, 1) })
 	}
 	for range 3 { // messages in pieces
@@ -82,15 +82,15 @@
 	})
 }
 
-// shutDown sends SIGTERM, and SIGKILL when it is due. It returns how the process ended, for the log.
+// shutDown sends SIGTERM, and SIGKILL if the process is still running at killAt. It returns a description of how the process ended.
 func (s *shutdownTrial) shutDown() (ending string) {
 	s.process.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-s.process.done:
 		if err != nil {
-			s.t.Errorf("ended with %v: %s", err, s.process.readLog())
+			s.t.Errorf("got %v at the end of the process, want exit code 0: %s", err, s.process.readLog())
 		}
-		return fmt.Sprintf("ended by itself after %v", time.Since(s.signalAt).Round(time.Millisecond))
+		return fmt.Sprintf("the process ended without a kill after %v", time.Since(s.signalAt).Round(time.Millisecond))
 	case <-time.After(time.Until(s.killAt)):
 		s.process.cmd.Process.Signal(os.Kill)
 		<-s.process.done
@@ -101,13 +101,13 @@
 // shutdownResult counts the requests of a trial by their outcome.
 type shutdownResult struct {
 	total           int
-	afterSignal     int           // written after SIGTERM
+	afterSignal     int           // requests written after SIGTERM
 	answered        int           // with exactly one response
-	twice           int           // with more than one response
-	late            int           // answered later than answerSlack after the deadline
-	crossed         int           // unanswered, as they crossed the close of their connection; clients retry them elsewhere
+	duplicated      int           // with more than one response
+	late            int           // answered more than answerSlack after the deadline
+	crossed         int           // unanswered, because they crossed the close of their connection; clients retry them elsewhere
 	lostEarly       int           // unanswered, though written within shutdownServes of SIGTERM
-	lostLate        int           // unanswered, written later, on a connection that was read for longer than a crossing takes
+	lostLate        int           // unanswered, written later, on a connection that closed too late for a crossing
 	longest         time.Duration // longest time from a request to its response
 	longestCrossing time.Duration // longest time from an unanswered request to the end of its connection
 }
@@ -122,8 +122,8 @@
 	return result
 }
 
-// countConnection counts the requests of one connection. The unanswered ones may have crossed the close of the connection only where
-// each of them was written just before it: the director had read none of them then. No request crosses a close by SIGKILL.
+// countConnection counts the requests of one connection. The unanswered requests may have crossed the close of the connection only if all
+// of them were written just before the close, so that the director had read none of them. A close by SIGKILL never counts as a crossing.
 func (s *shutdownTrial) countConnection(conn *connection, result *shutdownResult) {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -136,7 +136,7 @@
 		}
 		switch {
 		case request.responses > 1:
-			result.twice++
+			result.duplicated++
 		case request.responses == 1:
 			result.countAnswered(request)
 		default:
@@ -157,14 +157,14 @@
 	}
 }
 
-// wasJustWritten reports whether a request was written so shortly before the end of its connection that it may have crossed the close.
-// The lateness of this process in between is allowed for.
+// wasJustWritten reports whether a request was written so shortly before the end of its connection that it may have crossed the close. It
+// adds the lateness of the test process in between to the allowed time.
 func (s *shutdownTrial) wasJustWritten(request *sentRequest, endedAt time.Time) bool {
 	allowed := crossingAllowed + s.lateness.Between(request.written, endedAt)
 	return endedAt.Sub(request.written) <= allowed && !s.mustBeAnswered(request)
 }
 
-// mustBeAnswered reports whether a request was written early enough that it must get a response, even if it crosses a close.
+// mustBeAnswered reports whether a request was written so early that it must get a response, even if it crosses a close.
 func (s *shutdownTrial) mustBeAnswered(request *sentRequest) bool {
 	return request.written.Sub(s.signalAt) <= shutdownServes
 }
@@ -179,39 +179,40 @@
 	}
 }
 
-// log logs the counts.
+// log logs the counts and the lateness of the test process.
 func (s *shutdownTrial) log(result shutdownResult, ending string) {
 	s.t.Helper()
 	lateness := s.lateness.Between(s.signalAt, time.Now())
-	s.t.Logf("%d requests, %d of them after SIGTERM; %s", result.total, result.afterSignal, ending)
-	s.t.Logf("answered: %d once, the longest after %v, %d of them over 0.5 s past their deadline; %d more than once",
-		result.answered, result.longest.Round(time.Millisecond), result.late, result.twice)
-	s.t.Logf("unanswered: %d written until 0.7 s, %d later; %d crossed a close; the longest was written %v before the close",
+	s.t.Logf("%d requests, %d of them written after SIGTERM; %s", result.total, result.afterSignal, ending)
+	s.t.Logf("answered: %d once, the slowest after %v, %d of them more than 0.5 s after their deadline; %d more than once",
+		result.answered, result.longest.Round(time.Millisecond), result.late, result.duplicated)
+	s.t.Logf("unanswered: %d written within 0.7 s of SIGTERM, %d later; %d crossed a close; the earliest was written %v before the close",
 		result.lostEarly, result.lostLate, result.crossed, result.longestCrossing.Round(time.Millisecond))
-	s.t.Logf("this process woke up to %v late", lateness.Round(time.Millisecond))
+	s.t.Logf("the test process itself ran up to %v late", lateness.Round(time.Millisecond))
 }
 
-// check fails the test where a request that the director read has not exactly one response in time.
+// check fails the test if a request that the director read does not have exactly one response in time.
 func (s *shutdownTrial) check(result shutdownResult) {
 	s.t.Helper()
-	if result.twice+result.lostEarly+result.lostLate > 0 {
-		s.t.Errorf("not each request that was read has exactly one response: %s", s.process.readLog())
+	if result.duplicated+result.lostEarly+result.lostLate > 0 {
+		s.t.Errorf("got requests that were read and have no response or more than one: %s", s.process.readLog())
 	}
-	if lines := closedOverOpen.FindAllString(s.process.readLog(), -1); len(lines) > 0 {
-		s.t.Errorf("connections closed over requests that had been read:\n%s", strings.Join(lines, "\n"))
+	if lines := closedWithOpenRequests.FindAllString(s.process.readLog(), -1); len(lines) > 0 {
+		s.t.Errorf("got connections that were closed with open requests:\n%s", strings.Join(lines, "\n"))
 	}
 	if result.late > 0 {
-		s.t.Errorf("%d responses came over %v after their deadline", result.late, answerSlack)
+		s.t.Errorf("got %d responses more than %v after their deadline, want none", result.late, answerSlack)
 	}
 	if result.afterSignal < 100 || result.answered < 200 {
-		s.t.Errorf("%d requests after SIGTERM and %d answered are too few to show anything", result.afterSignal, result.answered)
+		s.t.Errorf("got %d requests after SIGTERM and %d answered, want at least 100 and 200 for a meaningful result", result.afterSignal,
+			result.answered)
 	}
 }
 
-// TestShutdownWithShortDeadlines: deadlines are short, all nodes are unresponsive, and clients go on sending, on open connections and on
-// new ones, until the process ends. Each request that the director reads gets exactly one final response before SIGKILL, which comes the
-// longest deadline and 0.7 s after SIGTERM. Requests that cross the close of their connection are counted separately; clients retry
-// these elsewhere.
+// TestShutdownWithShortDeadlines shuts a director down while clients continue to send requests, on open and on new connections, until the
+// process ends. Deadlines are short and all nodes are unresponsive. Each request that the director reads must get exactly one final
+// response before SIGKILL, which is sent 0.7 s plus the longest deadline after SIGTERM. Requests that cross the close of their connection
+// are counted separately, because clients retry them elsewhere.
 func TestShutdownWithShortDeadlines(t *testing.T) {
 	const (
 		short, long = 200 * time.Millisecond, 500 * time.Millisecond
@@ -224,7 +225,7 @@
 		{"0.2 s", []time.Duration{short, short}},
 		{"0.5 s", []time.Duration{long, long}},
 		{"both", []time.Duration{short, long}},
-		{"both, the other way", []time.Duration{long, short}},
+		{"both, swapped", []time.Duration{long, short}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/cmd/director/stubs_test.go
+++ b/cmd/director/stubs_test.go
@@ -17,7 +17,7 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// acceptAll calls serve with each connection of a listener, in a goroutine for each, until the listener is closed.
+// acceptAll accepts connections until the listener is closed. It calls serve in a new goroutine for each connection.
 func acceptAll(listener net.Listener, serve func(net.Conn)) {
 	for {
 		conn, err := listener.Accept()
@@ -38,7 +38,7 @@
 	watches int // connections so far
 }
 
-// startDiscovery starts a discovery service without events. The first event that it publishes follows the one with number last.
+// startDiscovery starts a discovery service without events. The first event that it publishes gets the number last+1.
 func startDiscovery(t *testing.T, last uint64) *discoveryService {
 	t.Helper()
 	s := &discoveryService{Listener: listenAnywhere(t), last: last}
@@ -46,7 +46,7 @@
 	return s
 }
 
-// publish adds an event. It sets the event's number.
+// publish adds an event and sets its number.
 func (s *discoveryService) publish(event discovery.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,7 @@
 	return s.watches
 }
 
-// serve sends events on one watch until it ends: all after the one that its hello names, then those that are published.
+// serve sends events on one watch until the connection ends: all events after the one that its hello names, and later the new ones.
 func (s *discoveryService) serve(conn net.Conn) {
 	defer conn.Close()
 	var hello [8]byte
@@ -83,8 +83,8 @@
 	}
 }
 
-// framesAfter returns the frames of all events after the one with a number, or a heartbeat where there are none. Last is the number of
-// the last event then sent.
+// framesAfter returns the frames of all events after the one with a number, or a heartbeat if there are none. Last is the number of the
+// last event that has been sent with these frames.
 func (s *discoveryService) framesAfter(number uint64) (frames []byte, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,13 +101,13 @@
 	return frames, last
 }
 
-// namedNode emulates a node. Its response to each request is a hit, with the node's name as the body.
+// namedNode emulates a node. It responds to each request with a hit whose body is the node's name.
 type namedNode struct {
 	net.Listener
 	name string
 }
 
-// startNamedNode starts a node, which listens until the end of the test.
+// startNamedNode starts a node that listens until the end of the test.
 func startNamedNode(t *testing.T, name string) *namedNode {
 	t.Helper()
 	n := &namedNode{listenAnywhere(t), name}
@@ -134,7 +134,7 @@
 	}
 }
 
-// endpoint returns the endpoint of the first cache in the configuration, with the address of this node.
+// endpoint returns an endpoint with the ID of the first cache in the configuration and the address of this node.
 func (n *namedNode) endpoint(t *testing.T) discovery.Endpoint {
 	t.Helper()
 	address, err := netip.ParseAddrPort(n.Addr().String())
@@ -152,7 +152,7 @@
 	return listener.Addr().String()
 }
 
-// pageRequest returns a request, of class page, for an object that no other request is for.
+// pageRequest returns a request of class page for an object that no other request asks for.
 func pageRequest(id uint32, timeout time.Duration) []byte {
 	unique := fmt.Sprintf("%016x", nextRequestNumber())
 	return msgpack.AppendRequest(nil, &msgpack.Message{
@@ -178,8 +178,8 @@
 	return msgpack.ReadResponse(bufio.NewReader(conn))
 }
 
-// dialAccepted connects a client and waits until the process has accepted the connection. The response to a readiness check shows that:
-// to the client, a connection that is still in the system's queue, waiting for a descriptor, looks the same.
+// dialAccepted connects a client and waits until the process has accepted the connection. It uses a readiness check for that, because a
+// client cannot distinguish an accepted connection from one in the system's queue, which waits for a descriptor.
 func (p *process) dialAccepted() (net.Conn, *bufio.Reader) {
 	p.t.Helper()
 	conn := p.dial()
@@ -190,12 +190,12 @@
 	}
 	ready := make([]byte, len(msgpack.Readiness(1, true)))
 	if _, err := io.ReadFull(in, ready); err != nil {
-		p.t.Fatalf("not accepted: %v", err)
+		p.t.Fatalf("the connection was not accepted: %v", err)
 	}
 	return conn, in
 }
 
-// waitServedBy waits until the node with a name serves requests.
+// waitServedBy waits until the node with the given name serves a request.
 func (p *process) waitServedBy(name string) {
 	p.t.Helper()
 	var last msgpack.Response
@@ -205,7 +205,7 @@
 			return
 		}
 	}
-	p.t.Fatalf("%s serves no request; the last response is %+v, error %v: %s", name, last, err, p.readLog())
+	p.t.Fatalf("%s serves no request; got last response %+v, error %v: %s", name, last, err, p.readLog())
 }
 
 // waitLogged waits until the log contains a text a number of times.
@@ -215,7 +215,7 @@
 	p.waitUntil(failure, func() bool { return strings.Count(p.readLog(), text) >= times })
 }
 
-// waitUntil waits until a condition holds. Where it does not within responseTimeout, the test fails with a text and the log.
+// waitUntil waits until a condition holds. If it does not hold within responseTimeout, the test fails with the given text and the log.
 func (p *process) waitUntil(failure string, holds func() bool) {
 	p.t.Helper()
 	for deadline := time.Now().Add(responseTimeout); !holds(); time.Sleep(time.Millisecond) {
--- a/cmd/indigochute/check.go
+++ b/cmd/indigochute/check.go
@@ -13,20 +13,21 @@
 	"indigochute.example/indigochute/internal/service"
 )
 
-// checkCommand returns the command that reads a configuration, an operator file or both, and prints a summary or the first fault.
+// checkCommand returns the command that reads a configuration, an operator file or both, and prints a summary or the first error.
 func checkCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:     "check [FILE] [--operator FILE]",
-		Short:   "Read a director's configuration, an operator file or both, and report what they say, or their faults",
+		Short:   "Check a director's configuration, an operator file or both, and print a summary or their errors",
 		Example: "  indigochute check config.json\n  indigochute check config.json --operator operator.yaml\n  indigochute check --operator operator.yaml",
 		Args: func(command *cobra.Command, args []string) error {
 			if len(args) > 1 || len(args) == 0 && !command.Flags().Changed("operator") {
-				return usageError{errors.New("a configuration, an operator file or both are expected")}
+				return usageError{errors.New("a configuration, an operator file or both are required")}
 			}
 			return nil
 		},
 	}
-	clusterFile := command.Flags().String("operator", "", "operator file; with a configuration its director or control machine must be named there")
+	clusterFile := command.Flags().String("operator", "",
+		"operator file; must list the director or control machine of the configuration, if one is given")
 	command.RunE = func(command *cobra.Command, args []string) error {
 		out := command.OutOrStdout()
 		name := ""
@@ -49,7 +50,7 @@
 	return command
 }
 
-// checkConfiguration prints a summary of a configuration and returns the name of its director or control machine.
+// checkConfiguration prints a summary of a configuration. It returns the name of the director or control machine that it configures.
 func checkConfiguration(out io.Writer, path string) (name string, err error) {
 	if err := service.Check(out, path); err != nil {
 		return "", err
@@ -61,7 +62,7 @@
 	return conf.Name, nil
 }
 
-// printCluster prints a summary of an operator file. Name is a control machine or director whose place is printed too; empty: none.
+// printCluster prints a summary of an operator file. Name is the control machine or director whose location is printed too, or empty.
 func printCluster(out io.Writer, cluster *clusterconfig.File, name string) {
 	voters := len(cluster.MemberNames())
 	votersName := "instances"
@@ -69,25 +70,25 @@
 		votersName = "control machines"
 	}
 	majority := voters/2 + 1
-	fmt.Fprintf(out, "%d %s, a majority is %d; leases of %v renewed each %v, clocks within %v\n", voters, votersName, majority,
+	fmt.Fprintf(out, "%d %s, a majority is %d; leases of %v renewed every %v, clock drift up to %v\n", voters, votersName, majority,
 		cluster.Lease, cluster.Heartbeat, cluster.Drift)
 	if len(cluster.Control) > 0 {
 		printDirectors(out, cluster)
 		if place := cluster.Place(name); name != "" {
-			fmt.Fprintf(out, "%s is a %v at region %s, zone %s, site %s\n", name, cluster.Role(name), place.Region, place.Zone, place.Site)
+			fmt.Fprintf(out, "%s is a %v in region %s, zone %s, site %s\n", name, cluster.Role(name), place.Region, place.Zone, place.Site)
 		}
 	}
 	for _, duty := range cluster.Duties {
 		job := duty.Kind
 		if duty.Kind == clusterconfig.KindEvent {
-			job = fmt.Sprintf("note of %d bytes, life %v, keep: %s,", duty.Bytes, duty.Lifetime, duty.Keep)
+			job = fmt.Sprintf("note of %d bytes, lifetime %v, keep: %s,", duty.Bytes, duty.Lifetime, duty.Keep)
 		}
-		fmt.Fprintf(out, "duty %s: %s each %v, done within %v, missed: %s\n", duty.Name, job, duty.Period, duty.Timeout, duty.Missed)
+		fmt.Fprintf(out, "duty %s: %s every %v, timeout %v, missed: %s\n", duty.Name, job, duty.Period, duty.Timeout, duty.Missed)
 	}
 }
 
-// printDirectors prints the number of control machines and directors by region, zone and site, then the links between them, then the
-// warnings of regionWarnings.
+// printDirectors prints the numbers of control machines and directors by region, zone and site, then the links between them, then the
+// warnings that regionWarnings returns.
 func printDirectors(out io.Writer, cluster *clusterconfig.File) {
 	regions := cluster.Regions()
 	zones, sites := 0, 0
@@ -97,7 +98,7 @@
 			sites += len(zone.Sites)
 		}
 	}
-	fmt.Fprintf(out, "%d directors at %d sites of %d zones, %d regions with them or control machines\n", len(cluster.Directors), sites,
+	fmt.Fprintf(out, "%d directors at %d sites in %d zones; %d regions with directors or control machines\n", len(cluster.Directors), sites,
 		zones, len(regions))
 	var warnings []string
 	for _, region := range regions {
@@ -105,7 +106,7 @@
 		warnings = append(warnings, regionWarnings(region, len(cluster.Control))...)
 	}
 	printLinks(out, cluster)
-	fmt.Fprintf(out, "uplinks: %v to a director at most, dials spread over %v\n", cluster.Uplink.Rate, cluster.Uplink.Spread)
+	fmt.Fprintf(out, "uplinks: at most %v to each director, dials spread over %v\n", cluster.Uplink.Rate, cluster.Uplink.Spread)
 	for _, warning := range warnings {
 		fmt.Fprintln(out, "warning:", warning)
 	}
@@ -123,29 +124,29 @@
 	}
 }
 
-// regionWarnings returns a warning where the region has no control machine, so that its directors depend on other regions, and one where
-// no majority of the control machines is left without the region.
+// regionWarnings returns a warning if the region has no control machine, so that its directors depend on other regions, and one if the loss
+// of the region leaves no majority of the control machines.
 func regionWarnings(region clusterconfig.Region, controlMachines int) (warnings []string) {
 	if region.Control == 0 {
-		warnings = append(warnings, fmt.Sprintf("region %s has no control machine of its own (directors: %d)", region.Name, region.Directors))
+		warnings = append(warnings, fmt.Sprintf("region %s has no control machine (directors: %d)", region.Name, region.Directors))
 	}
 	if region.Control > controlMachines/2 {
-		warnings = append(warnings, fmt.Sprintf("region %s has %d of %d control machines: without it no duty runs", region.Name,
+		warnings = append(warnings, fmt.Sprintf("region %s has %d of %d control machines: if it is lost, no duty runs", region.Name,
 			region.Control, controlMachines))
 	}
 	return warnings
 }
 
-// printLinks prints how many links to directors a control machine has on average: with no control machine lost, and with each number of
-// them lost that leaves a majority. It leaves out the number 2 unless that is the largest.
+// printLinks prints the average number of links to directors that a control machine has: with no control machine lost, and with each number
+// of lost ones that leaves a majority. It omits the number 2 unless that is the largest.
 func printLinks(out io.Writer, cluster *clusterconfig.File) {
-	fmt.Fprintf(out, "links that a control machine bears on average: %.1f", cluster.LinksPerControlMachine(0))
+	fmt.Fprintf(out, "average links per control machine: %.1f", cluster.LinksPerControlMachine(0))
 	maxLost := (len(cluster.Control) - 1) / 2 // a majority is left
 	for lost := 1; lost <= maxLost; lost++ {
 		if leftOut := lost == 2 && lost < maxLost; leftOut {
 			continue
 		}
-		fmt.Fprintf(out, ", with %d lost %.1f", lost, cluster.LinksPerControlMachine(lost))
+		fmt.Fprintf(out, ", with %d lost: %.1f", lost, cluster.LinksPerControlMachine(lost))
 	}
 	fmt.Fprintln(out)
 }
--- a/cmd/indigochute/check_test.go
+++ b/cmd/indigochute/check_test.go
@@ -20,8 +20,8 @@
   - {name: tell, kind: note, period: 1s, bytes: 60, keep: last}
 `
 
-// runCheck runs check on an operator file and, where a director is named, on its configuration. It returns the exit code and what was
-// printed, standard error last.
+// runCheck runs check on an operator file and, if a director is named, on a configuration of that name. It returns the exit code, and
+// standard output followed by standard error.
 func runCheck(t *testing.T, director, operator string) (code int, printed string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -33,47 +33,49 @@
 	return code, stdout + stderr
 }
 
-// TestCheckControl: check prints the machines of an operator file by region, zone and site, its links, its warnings and its duties.
-func TestCheckControl(t *testing.T) {
+// TestCheckPrintsOperatorFileSummary checks the complete output for an operator file: its machines by region, zone and site, its links, its
+// warnings and its duties.
+func TestCheckPrintsOperatorFileSummary(t *testing.T) {
 	code, printed := runCheck(t, "", operatorFile)
-	const want = `3 control machines, a majority is 2; leases of 1.2s renewed each 250ms, clocks within 1%
-5 directors at 4 sites of 3 zones, 3 regions with them or control machines
+	const want = `3 control machines, a majority is 2; leases of 1.2s renewed every 250ms, clock drift up to 1%
+5 directors at 4 sites in 3 zones; 3 regions with directors or control machines
 region east: control machines 0, directors 1
   zone e1: 1 (e1a 1)
 region north: control machines 2, directors 4
   zone n1: 3 (n1a 2, n1b 1)
   zone n2: 1 (n2a 1)
 region south: control machines 1, directors 0
-links that a control machine bears on average: 3.3, with 1 lost 5.0
-uplinks: 16KB/s to a director at most, dials spread over 800ms
-warning: region east has no control machine of its own (directors: 1)
-warning: region north has 2 of 3 control machines: without it no duty runs
-duty tell: note of 60 bytes, life 10m0s, keep: last, each 1s, done within 500ms, missed: catch-up
+average links per control machine: 3.3, with 1 lost: 5.0
+uplinks: at most 16KB/s to each director, dials spread over 800ms
+warning: region east has no control machine (directors: 1)
+warning: region north has 2 of 3 control machines: if it is lost, no duty runs
+duty tell: note of 60 bytes, lifetime 10m0s, keep: last, every 1s, timeout 500ms, missed: catch-up
 `
 	if code != 0 || printed != want {
-		t.Errorf("exit %d:\n%s\nwant:\n%s", code, printed, want)
+		t.Errorf("got exit code %d:\n%s\nwant 0:\n%s", code, printed, want)
 	}
 }
 
-// TestCheckDeployedControl: the operator file of the deployment is valid and gives no warnings.
-func TestCheckDeployedControl(t *testing.T) {
+// TestCheckAcceptsDeployedOperatorFile checks that the operator file in deploy is valid and causes no warnings.
+func TestCheckAcceptsDeployedOperatorFile(t *testing.T) {
 	code, printed := runCheck(t, "", string(readTestFile(t, "../../deploy/control.yaml")))
 	if code != 0 || strings.Contains(printed, "warning") {
-		t.Errorf("exit %d, want no warnings:\n%s", code, printed)
+		t.Errorf("got exit code %d, want 0 and no warnings:\n%s", code, printed)
 	}
 	wants := []string{
 		"9 control machines, a majority is 5;",
-		"average: 2.4, with 1 lost 2.8, with 3 lost 3.7, with 4 lost 4.4\n",
+		"average links per control machine: 2.4, with 1 lost: 2.8, with 3 lost: 3.7, with 4 lost: 4.4\n",
 	}
 	for _, want := range wants {
 		if !strings.Contains(printed, want) {
-			t.Errorf("lacks %q:\n%s", want, printed)
+			t.Errorf("the output lacks %q:\n%s", want, printed)
 		}
 	}
 }
 
-// TestCheckControlAndConfiguration: a configuration that is checked together with an operator file must be that of a machine in the file.
-func TestCheckControlAndConfiguration(t *testing.T) {
+// TestCheckConfigurationAgainstOperatorFile checks a configuration together with an operator file, which must list the machine of the
+// configuration.
+func TestCheckConfigurationAgainstOperatorFile(t *testing.T) {
 	even := strings.Replace(operatorFile, "  - {name: c1, address: 10.0.0.2:7400, region: north, zone: n1, site: n1a}\n", "", 1)
 	cases := []struct {
 		name     string
@@ -82,8 +84,8 @@
 		code     int
 		want     string
 	}{
-		{"director", "n", operatorFile, 0, "n is a director at region east, zone e1, site e1a\n"},
-		{"control machine", "c2", operatorFile, 0, "c2 is a control machine at region south, zone s1, site s1a\n"},
+		{"director", "n", operatorFile, 0, "n is a director in region east, zone e1, site e1a\n"},
+		{"control machine", "c2", operatorFile, 0, "c2 is a control machine in region south, zone s1, site s1a\n"},
 		{"unknown machine", "d9", operatorFile, 1, "control.yaml:5: directors: found no control machine or director «d9»"},
 		{"even number of control machines", "", even, 1, "control.yaml:1: control: found 2 machines, expected 3, 5, 7 or 9"},
 	}
@@ -91,14 +93,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			code, printed := runCheck(t, test.director, test.operator)
 			if code != test.code || !strings.Contains(printed, test.want) {
-				t.Errorf("exit %d, want %d and %q:\n%s", code, test.code, test.want, printed)
+				t.Errorf("got exit code %d, want %d and %q in the output:\n%s", code, test.code, test.want, printed)
 			}
 		})
 	}
 }
 
-// TestStatusByControlFile: leases status queries every control machine that an operator file names.
-func TestStatusByControlFile(t *testing.T) {
+// TestLeasesStatusQueriesAllControlMachines checks that leases status queries every control machine in an operator file if none responds.
+func TestLeasesStatusQueriesAllControlMachines(t *testing.T) {
 	unreachable := strings.NewReplacer(
 		"10.0.0.1:7400", "127.0.0.1:1",
 		"10.0.0.2:7400", "127.0.0.1:2",
@@ -108,7 +110,7 @@
 	code, stdout, stderr := runCommand("leases", "status", "--operator", path)
 	for _, address := range []string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"} {
 		if code != 1 || !strings.Contains(stderr, address+":") {
-			t.Errorf("exit %d, %s was not queried: %s%s", code, address, stdout, stderr)
+			t.Errorf("got exit code %d, want 1 and a failed query of %s: %s%s", code, address, stdout, stderr)
 		}
 	}
 }
--- a/cmd/indigochute/emulate.go
+++ b/cmd/indigochute/emulate.go
@@ -20,37 +20,38 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// Bounds of a run of emulate.
+// Bounds on the flags of emulate.
 const (
-	maxEmulateRate     = 20000 // requests a second
+	maxEmulateRate     = 20000 // requests per second
 	minEmulateDuration = time.Second
 	maxEmulateDuration = time.Hour
 )
 
 // emulateOptions holds the flags of emulate.
 type emulateOptions struct {
-	rate        float64 // requests a second
+	rate        float64 // requests per second
 	duration    time.Duration
 	seed        uint64
-	captureFile string // path to write the capture to; empty: no capture is written
+	captureFile string // path of the capture to write; empty: none
 }
 
-// emulateCommand returns the command that runs an emulated installation under load. The command exists under two names, so the name is
-// an argument.
+// emulateCommand returns the command that runs an emulated installation under load. The name is a parameter, because the command is added
+// under two names.
 func emulateCommand(name string, log *logFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   name + " FLEET",
-		Short: "Run an emulated fleet on loopback with real directors before it and clients that load it",
-		Long: "Brings up the caches, parents, origin and journal service that a fleet's description names, on loopback, starts a\n" +
-			"real director for each that it names, and loads them by the vhosts' demand. Latency counts from intended times.",
+		Short: "Run real directors and an emulated fleet on loopback, and send them client load",
+		Long: "Emulates the caches, parents, origin and journal service of a fleet description on loopback, and starts its directors as real ones.\n" +
+			"Sends them requests according to the demand of each vhost. Latency is measured from the time at which a request was due.",
 		Example: "  indigochute " + name + " examples/plan/small.yaml\n  indigochute " + name + " examples/plan/small.yaml --rate 120 --for 2m --capture small.capture",
 		Args:    exactArgs(1),
 	}
 	var options emulateOptions
-	command.Flags().Float64Var(&options.rate, "rate", 60, "requests a second")
-	command.Flags().DurationVar(&options.duration, "for", 20*time.Second, "how long")
-	command.Flags().Uint64Var(&options.seed, "seed", 1, "of the load and of directors")
-	command.Flags().StringVar(&options.captureFile, "capture", "", "write what the directors see to this file, which must not be there yet")
+	command.Flags().Float64Var(&options.rate, "rate", 60, "requests per second")
+	command.Flags().DurationVar(&options.duration, "for", 20*time.Second, "duration of the load")
+	command.Flags().Uint64Var(&options.seed, "seed", 1, "seed of the load and of the directors")
+	command.Flags().StringVar(&options.captureFile, "capture", "",
+		"write a record of each request at the directors to this file, which must not exist yet")
 	command.RunE = func(command *cobra.Command, args []string) error {
 		description, err := topology.Read(args[0])
 		if err != nil {
@@ -68,18 +69,18 @@
 	return command
 }
 
-// check returns an error where a flag is out of its bounds.
+// check returns an error if a flag is out of bounds.
 func (o *emulateOptions) check() error {
 	rateInRange := o.rate > 0 && o.rate <= maxEmulateRate // false for NaN
 	durationInRange := o.duration >= minEmulateDuration && o.duration <= maxEmulateDuration
 	if !rateInRange || !durationInRange {
-		return errors.New("--rate from above 0 to 20000 and --for from 1s to 1h are expected")
+		return errors.New("--rate must be above 0 and at most 20000, and --for from 1s to 1h")
 	}
 	return nil
 }
 
-// emulateLogger returns the directors' logger. At the default level, info, it logs only warnings and errors, since many directors would
-// write too many lines.
+// emulateLogger returns the logger of the directors. At the default level, info, it logs only warnings and errors, because many directors
+// would write too many lines.
 func emulateLogger(flags *logFlags, out io.Writer) (*logrus.Logger, error) {
 	logger, err := flags.newLogger(out)
 	if err != nil {
@@ -91,8 +92,8 @@
 	return logger, nil
 }
 
-// run starts the installation, sends it load for the duration, or until a signal, and prints the results. It returns errReported where a
-// rule of the protocol was broken.
+// run starts the installation, sends load until the duration ends or a signal arrives, and prints the results. It returns errReported if
+// the protocol was violated.
 func (o *emulateOptions) run(description *topology.Topology, logger *logrus.Logger, stdout, stderr io.Writer) error {
 	requests, err := emulator.GenerateRequests(description, o.rate, o.duration, o.seed)
 	if err != nil {
@@ -116,19 +117,19 @@
 	load := installation.NewLoad(requests, 0, o.duration)
 	printLoad(stdout, description, load, load.Run(ctx, nil))
 	if late := max(load.Lateness(), installation.Lateness()); late > capacity.MaxLateness {
-		fmt.Fprintf(stderr, "this machine was %v late itself: the figures are void\n", late)
+		fmt.Fprintf(stderr, "this machine itself ran %v late, so the figures are invalid\n", late)
 	}
 	if writer != nil {
 		if err := writer.Close(); err != nil {
 			return err
 		}
-		fmt.Fprintf(stdout, "captured in %s, %d rows dropped\n", o.captureFile, writer.Dropped())
+		fmt.Fprintf(stdout, "capture written to %s, %d rows dropped\n", o.captureFile, writer.Dropped())
 	}
 	return reportViolations(stderr, installation.Violations())
 }
 
-// startCapture creates the capture file and sets the observers of the directors in options. Where the flags name no file, it does nothing
-// and returns a nil writer.
+// startCapture creates the capture file and sets the observers of the directors in options. If the flags name no file, it does nothing and
+// returns a nil writer.
 func (o *emulateOptions) startCapture(description *topology.Topology, options *emulator.Options) (*capture.Writer, error) {
 	if o.captureFile == "" {
 		return nil, nil
@@ -144,7 +145,7 @@
 	return writer, nil
 }
 
-// reportViolations prints the violations of the protocol, and returns errReported where there is one.
+// reportViolations prints the violations of the protocol. It returns errReported if there is any.
 func reportViolations(out io.Writer, violations []string) error {
 	for _, violation := range violations {
 		fmt.Fprintln(out, "broken:", violation)
@@ -159,19 +160,20 @@
 func printLoad(out io.Writer, description *topology.Topology, load *emulator.Load, result *capacity.Result) {
 	for i, class := range description.Classes {
 		tally, latency := result.Classes[i], load.Latency(i)
-		fmt.Fprintf(out, "%-12s %6d asked  %6.2f%% in their aim  %5d late  %5d denied  %5d failed  50%% in %v, 99%% in %v\n", class.Name,
+		fmt.Fprintf(out, "%-12s %6d requests  %6.2f%% within aim  %5d late  %5d denied  %5d failed  latency: median %v, p99 %v\n",
+			class.Name,
 			tally.Requests, 100*tally.Share(), tally.Late, tally.Rejected, tally.Failed, micros(latency.ValueAtQuantile(50)),
 			micros(latency.ValueAtQuantile(99)))
 	}
 }
 
-// micros returns a number of microseconds as a duration, rounded to a tenth of a millisecond.
+// micros converts a number of microseconds to a duration, rounded to a tenth of a millisecond.
 func micros(count int64) time.Duration {
 	return (time.Duration(count) * time.Microsecond).Round(100 * time.Microsecond)
 }
 
-// emulateHeader returns the header of a capture by all directors of an emulated installation. The rows count from start. Since the rows
-// of a director count from its own start, shiftedObserver shifts them by the time in between, on the monotonic clock.
+// emulateHeader returns the header of a capture that all directors of an emulated installation share. Arrival times in its rows count from
+// start. Each director counts from its own start, so shiftedObserver adds the time from start to that, on the monotonic clock.
 func emulateHeader(description *topology.Topology, start time.Time) capture.Header {
 	header := capture.Header{Director: "stand-in fleet " + description.Name, Start: start.UnixMicro()}
 	for _, class := range description.Classes {
@@ -183,14 +185,14 @@
 	return header
 }
 
-// shiftedObserver writes the requests of one of several directors to a capture that they share.
+// shiftedObserver writes the requests of one director to a capture that several directors share.
 type shiftedObserver struct {
 	writer *capture.Writer
 	shift  time.Duration // from the start of the capture to the start of the director
 	zone   int16
 }
 
-// RequestEnded writes a row for a request that ended.
+// RequestEnded writes a row for a completed request.
 func (o *shiftedObserver) RequestEnded(record director.RequestRecord) {
 	row := capture.NewRow(record, o.zone)
 	row.At += o.shift
--- a/cmd/indigochute/helpers_test.go
+++ b/cmd/indigochute/helpers_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// argsVariable is the environment variable that makes the test binary run as the program itself, with the arguments in it.
+// argsVariable is the environment variable that makes the test binary run as the program itself. Its value is the arguments.
 const argsVariable = "INDIGOCHUTE_ARGS"
 
-// TestMain runs the program instead of the tests where argsVariable is set, for tests that need a process of the program.
+// TestMain runs the program instead of the tests if argsVariable is set. Tests that need a process of the program start it this way.
 func TestMain(m *testing.M) {
 	if args := os.Getenv(argsVariable); args != "" {
 		os.Exit(run(strings.Fields(args), os.Stdout, os.Stderr))
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// runCommand runs a command line in this process and returns its exit code and what it printed.
+// runCommand runs a command line in this process. It returns the exit code and both outputs.
 func runCommand(args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	code = run(args, &out, &errs)
@@ -46,7 +46,7 @@
 	return content
 }
 
-// directorConfig returns a complete configuration of a director. It is of the old shape and has no endpoints.
+// directorConfig returns a complete configuration of a director. It has the old shape and no endpoints.
 func directorConfig(name string) string {
 	return `{"name":"` + name + `","listen":"127.0.0.1:1","seed":"0000000000000007","journal":"127.0.0.1:2",
 		"limits":{"cores":1,"memory_mb":64,"sockets":64},"known":{"pos":1,"entries":[]},
--- a/cmd/indigochute/hollow.go
+++ b/cmd/indigochute/hollow.go
@@ -15,17 +15,17 @@
 	"indigochute.example/indigochute/internal/testing/hollow"
 )
 
-// hollowSignals is the number of signals that are queued while one is handled. Further signals are dropped.
+// hollowSignals is the number of signals that can be queued while one is being handled. Further signals are dropped.
 const hollowSignals = 4
 
-// hollowCommand returns the command that runs many hollow directors in one process. It is hidden, since only tests need it.
+// hollowCommand returns the command that runs many hollow directors in one process. It is hidden, because only tests use it.
 func hollowCommand(log *logFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:    "hollow SPEC",
-		Short:  "Run many directors in one process that only talk, with no clients and no machines",
+		Short:  "Run many directors in one process, which only exchange messages and have no clients and no nodes",
 		Hidden: true,
-		Long: "Starts the directors that a file names (JSON), writes the address of its desk to standard output as one line of JSON, and ends\n" +
-			"at SIGTERM, with duties handed over, or at the end of its standard input, at once. SIGHUP reads operator files again.",
+		Long: "Starts the directors in a JSON file, and writes the address of its query server to standard output as one line of JSON. Exits after\n" +
+			"SIGTERM, once all leases are handed over, or immediately at the end of standard input. SIGHUP reloads the operator files.",
 		Args: exactArgs(1),
 	}
 	command.RunE = func(command *cobra.Command, args []string) error {
@@ -39,9 +39,9 @@
 	return command
 }
 
-// runHollow runs a host of hollow directors until a signal or the end of in. After SIGTERM or an interrupt the directors hand over their
-// leases first; SIGHUP only makes them read their operator files again. The end of in, which is standard input, ensures that the host
-// does not outlive the process that started it.
+// runHollow runs a host of hollow directors until it receives SIGTERM or an interrupt, or until in, which is standard input, ends. After
+// a signal the directors hand over their leases first. SIGHUP makes them reload their operator files. The end of standard input stops the
+// host, so that it does not outlive the process that started it.
 func runHollow(path string, in io.Reader, out io.Writer, log *logrus.Entry) error {
 	spec, err := readHollowSpec(path)
 	if err != nil {
@@ -52,7 +52,7 @@
 	defer signal.Stop(signals)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { // ends with standard input, at the latest with the process
+	go func() { // returns when standard input ends, at the latest when the process exits
 		io.Copy(io.Discard, in)
 		cancel()
 	}()
@@ -74,7 +74,7 @@
 				return nil
 			}
 			if err := host.Reload(); err != nil {
-				log.WithError(err).Error("operator files: not taken by all")
+				log.WithError(err).Error("operator files not reloaded by all directors")
 			}
 		}
 	}
--- a/cmd/indigochute/hollow_talk.go
+++ b/cmd/indigochute/hollow_talk.go
@@ -14,31 +14,33 @@
 
 // talkOptions holds the flags of hollow talk.
 type talkOptions struct {
-	sizes         []int    // numbers of directors to measure
+	sizes         []int    // numbers of directors at which to measure
 	kinds         []string // hollow.Mesh, hollow.Control or both
 	realDirectors int      // number of real directors to compare with hollow ones; 0: no comparison
 }
 
-// talkResult is what hollow talk prints.
+// talkResult is the result that hollow talk prints.
 type talkResult struct {
-	Talks      []*hollow.PeerTraffic `json:"talk"`
+	Traffic    []*hollow.PeerTraffic `json:"talk"`
 	Comparison *hollow.Comparison    `json:"comparison"`
 }
 
-// hollowTalkCommand returns the command that measures the cost of the messages between directors by the number of directors.
+// hollowTalkCommand returns the command that measures how the cost of the messages between directors depends on the number of directors.
 func hollowTalkCommand() *cobra.Command {
 	command := &cobra.Command{
 		Use:   "talk",
-		Short: "Measure what talk costs by the number of directors, and hollow directors beside real ones",
-		Long: "Measures a mesh and control machines with directors that follow them, on loopback, and draws lines through sizes up to 290. Ends\n" +
-			"with 1 where these do not foretell what is measured at 580 within 15%.",
+		Short: "Measure the cost of messages between directors by their number, and compare hollow directors with real ones",
+		Long: "Measures a mesh of directors, and directors that follow control machines, on loopback. Fits a line through the sizes up to 290.\n" +
+			"The exit code is 1 if a fitted line does not predict the value measured at 580 within 15%.",
 		Args: exactArgs(0),
 	}
 	var options talkOptions
 	asJSON := command.Flags().Bool("json", false, "print JSON")
-	command.Flags().IntSliceVar(&options.sizes, "sizes", []int{10, 20, 40, 64, 290, 580}, "numbers of directors; of a mesh those up to 64")
-	command.Flags().StringSliceVar(&options.kinds, "kinds", []string{hollow.Mesh, hollow.Control}, "mesh, control")
-	command.Flags().IntVar(&options.realDirectors, "real", 20, "real directors that hollow ones are compared with; 0: none")
+	command.Flags().IntSliceVar(&options.sizes, "sizes", []int{10, 20, 40, 64, 290, 580},
+		"numbers of directors to measure; a mesh is measured only at those up to 64")
+	command.Flags().StringSliceVar(&options.kinds, "kinds", []string{hollow.Mesh, hollow.Control},
+		"kinds of clusters to measure: mesh, control")
+	command.Flags().IntVar(&options.realDirectors, "real", 20, "number of real directors to compare hollow ones with; 0: no comparison")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		program, err := os.Executable()
 		if err != nil {
@@ -48,7 +50,7 @@
 			return usageError{err}
 		}
 		meter := hollow.NewMeter(program)
-		meter.Progress = func(what string) { fmt.Fprintln(command.ErrOrStderr(), "measured:", what) }
+		meter.Progress = func(measured string) { fmt.Fprintln(command.ErrOrStderr(), "measured:", measured) }
 		result, err := options.measure(meter)
 		if err != nil {
 			return err
@@ -56,33 +58,33 @@
 		if err := printResult(command.OutOrStdout(), *asJSON, result, result.print); err != nil {
 			return err
 		}
-		if !result.holds() {
-			return errors.New("sizes up to 290 do not foretell 580 within 15%")
+		if !result.predictionsHold() {
+			return errors.New("the lines through the sizes up to 290 do not predict the values at 580 within 15%")
 		}
 		return nil
 	}
 	return command
 }
 
-// check returns an error where a flag is out of its bounds.
+// check returns an error if a flag has an invalid value.
 func (o *talkOptions) check() error {
 	if o.realDirectors < 0 || o.realDirectors > hollow.MaxRealDirectors {
-		return fmt.Errorf("--real from 0 to %d is expected", hollow.MaxRealDirectors)
+		return fmt.Errorf("--real must be from 0 to %d", hollow.MaxRealDirectors)
 	}
 	for _, size := range o.sizes {
 		if size < 2 || size > hollow.MaxControlSize {
-			return fmt.Errorf("--sizes from 2 to %d are expected", hollow.MaxControlSize)
+			return fmt.Errorf("--sizes must be from 2 to %d", hollow.MaxControlSize)
 		}
 	}
 	for _, kind := range o.kinds {
 		if kind != hollow.Mesh && kind != hollow.Control {
-			return fmt.Errorf("--kinds: %q is neither %s nor %s", kind, hollow.Mesh, hollow.Control)
+			return fmt.Errorf("--kinds: unknown kind %q, expected %s or %s", kind, hollow.Mesh, hollow.Control)
 		}
 	}
 	return nil
 }
 
-// sizesOf returns the sizes that a kind can have: a mesh is limited to hollow.MaxMeshSize.
+// sizesOf returns the sizes at which a kind is measured. A mesh is limited to hollow.MaxMeshSize.
 func (o *talkOptions) sizesOf(kind string) (sizes []int) {
 	for _, size := range o.sizes {
 		if tooLarge := kind == hollow.Mesh && size > hollow.MaxMeshSize; !tooLarge {
@@ -92,7 +94,7 @@
 	return sizes
 }
 
-// measure measures each kind, then compares hollow directors with real ones, unless the number of these is 0.
+// measure measures each kind of cluster, then compares hollow directors with real ones, unless the number of real ones is 0.
 func (o *talkOptions) measure(meter *hollow.Meter) (*talkResult, error) {
 	result := &talkResult{}
 	for _, kind := range o.kinds {
@@ -100,7 +102,7 @@
 		if err != nil {
 			return nil, err
 		}
-		result.Talks = append(result.Talks, talk)
+		result.Traffic = append(result.Traffic, talk)
 	}
 	if o.realDirectors == 0 {
 		return result, nil
@@ -110,10 +112,10 @@
 	return result, err
 }
 
-// holds reports whether, for each kind, the lines through the smaller sizes predict the largest, as hollow.PeerTraffic.Holds defines
-// it.
-func (r *talkResult) holds() bool {
-	for _, talk := range r.Talks {
+// predictionsHold reports whether, for each kind, the lines through the smaller sizes predict the values at the largest, as defined by
+// hollow.PeerTraffic.Holds.
+func (r *talkResult) predictionsHold() bool {
+	for _, talk := range r.Traffic {
 		if !talk.Holds {
 			return false
 		}
@@ -121,23 +123,23 @@
 	return true
 }
 
-// print prints the tables of each kind, then the comparison if there is one.
+// print prints the tables for each kind, then the comparison if there is one.
 func (r *talkResult) print(out io.Writer) {
-	for _, talk := range r.Talks {
-		printTalk(out, talk)
+	for _, talk := range r.Traffic {
+		printTraffic(out, talk)
 	}
 	if r.Comparison != nil {
 		printComparison(out, r.Comparison)
 	}
 }
 
-// bytesPerKB converts bytes of resident memory to the unit of its column.
+// bytesPerKB is the number of bytes in a KB of resident memory.
 const bytesPerKB = 1024
 
-// rateHeader is the header of the columns that rateCells fills.
-var rateHeader = []any{"received bytes/s", "written bytes/s", "of a core", "resident KB", "goroutines"}
+// rateHeader contains the headers of the columns that rateCells fills.
+var rateHeader = []any{"received bytes/s", "written bytes/s", "share of a core", "resident KB", "goroutines"}
 
-// rateCells returns the cells under rateHeader.
+// rateCells returns the cells for the columns of rateHeader.
 func rateCells(rates hollow.Rates) []any {
 	return []any{
 		fmt.Sprintf("%.0f", rates.Received),
@@ -148,32 +150,32 @@
 	}
 }
 
-// printTalk prints the cost of the messages at each size, then the lines through the sizes.
-func printTalk(out io.Writer, talk *hollow.PeerTraffic) {
-	fmt.Fprintf(out, "Talk, %s:\n", talk.Kind)
-	table := newTable(out, append([]any{"directors", "settled in", "of"}, rateHeader...)...)
+// printTraffic prints the cost of the messages at each size, then the fitted lines.
+func printTraffic(out io.Writer, talk *hollow.PeerTraffic) {
+	fmt.Fprintf(out, "Messages between directors, %s:\n", talk.Kind)
+	table := newTable(out, append([]any{"directors", "settled after", "of"}, rateHeader...)...)
 	for _, size := range talk.Sizes {
 		settled := size.SettleTime.Round(100 * time.Millisecond)
 		table.AppendRow(append([]any{size.Directors, settled, "a director"}, rateCells(size.Director)...))
 		if size.Control != nil {
 			table.AppendRow(append([]any{size.Directors, settled, "a control machine, mean"}, rateCells(*size.Control)...))
-			table.AppendRow(append([]any{size.Directors, settled, "a control machine, most"}, rateCells(*size.ControlMax)...))
+			table.AppendRow(append([]any{size.Directors, settled, "a control machine, maximum"}, rateCells(*size.ControlMax)...))
 		}
 	}
 	table.Render()
 	printFits(out, talk)
 }
 
-// printFits prints a row for each figure: its line through the sizes, and the predicted and the measured value at the largest size.
+// printFits prints a row for each figure: its fitted line, and the predicted and the measured value at the largest size.
 func printFits(out io.Writer, talk *hollow.PeerTraffic) {
-	table := newTable(out, "sizes up to 290", "at 0", "each director", "foretold at 580", "measured", "off by")
+	table := newTable(out, "sizes up to 290", "value at 0", "per director", "predicted at 580", "measured", "prediction error")
 	for _, fit := range talk.Fits {
 		measured, errorText := "not measured", ""
 		if fit.Measured != 0 {
 			measured = figure(fit.Measured)
 			errorText = fmt.Sprintf("%+.1f%%", 100*fit.Error)
 			if !fit.Holds {
-				errorText += ", too far"
+				errorText += ", above 15%"
 			}
 		}
 		table.AppendRow([]any{fit.Figure, figure(fit.Base), figure(fit.PerDirector), figure(fit.Predicted), measured, errorText})
@@ -183,20 +185,21 @@
 
 // printComparison prints the cost of a hollow director and of a real one.
 func printComparison(out io.Writer, comparison *hollow.Comparison) {
-	fmt.Fprintf(out, "Following control machines, a director of %d:\n", comparison.Directors)
+	fmt.Fprintf(out, "One of %d directors that follow control machines:\n", comparison.Directors)
 	table := newTable(out, append([]any{""}, rateHeader...)...)
 	for _, row := range []struct {
 		label string
 		rates hollow.Rates
 	}{
 		{"real, without an operator file", comparison.Without},
-		{"real, with", comparison.With},
-		{"real, the difference", comparison.Real},
-		{"hollow, less a host of none", comparison.Hollow},
+		{"real, with an operator file", comparison.With},
+		{"real, difference of the two", comparison.Real},
+		{"hollow, less a host without directors", comparison.Hollow},
 	} {
 		table.AppendRow(append([]any{row.label}, rateCells(row.rates)...))
 	}
 	ratio := comparison.Ratio
-	table.AppendRow([]any{"hollow to real", times(ratio.Received), times(ratio.Written), times(ratio.Cores), times(ratio.Resident), ""})
+	table.AppendRow([]any{"ratio of hollow to real", times(ratio.Received), times(ratio.Written), times(ratio.Cores), times(ratio.Resident),
+		""})
 	table.Render()
 }
--- a/cmd/indigochute/leases.go
+++ b/cmd/indigochute/leases.go
@@ -10,29 +10,30 @@
 	"indigochute.example/indigochute/internal/clusterconfig"
 )
 
-// leasesCommand returns the parent of the commands about leases. The command exists under two names, so the name is an argument.
+// leasesCommand returns the parent of the commands about leases. The name is a parameter, because the command is added under two names.
 func leasesCommand(name string) *cobra.Command {
 	command := &cobra.Command{
 		Use:   name,
-		Short: "The leases of periodic jobs that directors or control machines run for all of them",
+		Short: "Inspect the leases of the periodic jobs (duties) that directors or control machines run for the whole cluster",
 		RunE:  commandExpected,
 	}
 	command.AddCommand(leasesStatusCommand(name))
 	return command
 }
 
-// leasesStatusCommand returns the command that prints who holds which lease. Parent is the name of its parent, for the examples.
+// leasesStatusCommand returns the command that prints which instance holds which lease. Parent is the name of the parent command, which the
+// examples show.
 func leasesStatusCommand(parent string) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "status",
-		Short: "Who runs which duty until when, who is the leader (keeper), how the links are",
-		Long: "Asks any one instance, over the address at which it listens for the others, and then all that it names.\n" +
-			"Ends with 1 where no instance answers.",
+		Short: "Print the lease holder of each periodic job (duty), the leader (keeper) and the state of the links",
+		Long: "Queries one instance, at the address at which it listens for the other instances, and then all instances that it reports.\n" +
+			"The exit code is 1 if no instance responds.",
 		Example: "  indigochute " + parent + " status --at 10.0.0.1:7400\n  indigochute " + parent + " status --operator operator.yaml --json",
 		Args:    exactArgs(0),
 	}
-	address := command.Flags().String("at", "", "an instance's address")
-	file := command.Flags().String("operator", "", "operator file: the first instance of it that answers is asked")
+	address := command.Flags().String("at", "", "address of an instance")
+	file := command.Flags().String("operator", "", "operator file; the first instance in it that responds is queried")
 	asJSON := command.Flags().Bool("json", false, "print JSON")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		addresses, err := instanceAddresses(*address, *file)
@@ -49,12 +50,12 @@
 	return command
 }
 
-// instanceAddresses returns the address or, where a file is given instead, the addresses of all instances in that operator file. Both or
-// neither of the two is a usage error.
+// instanceAddresses returns the given address or, if an operator file is given instead, the addresses of all instances in that file. It is
+// a usage error to give both or neither.
 func instanceAddresses(address, file string) ([]string, error) {
 	exactlyOne := (address == "") != (file == "")
 	if !exactlyOne {
-		return nil, usageError{errors.New("either --at or --operator is expected")}
+		return nil, usageError{errors.New("exactly one of --at and --operator is required")}
 	}
 	if address != "" {
 		return []string{address}, nil
@@ -70,8 +71,8 @@
 	return addresses, nil
 }
 
-// queryFirst queries one instance after another and returns the status of the cluster from the first that responds. Where none responds,
-// the error joins the errors of all.
+// queryFirst queries the instances one after another and returns the cluster status from the first one that responds. If none responds,
+// it returns the errors of all queries, joined.
 func queryFirst(addresses []string) (*cluster.ClusterStatus, error) {
 	var failures []error
 	for _, address := range addresses {
--- a/cmd/indigochute/leases_print.go
+++ b/cmd/indigochute/leases_print.go
@@ -13,9 +13,10 @@
 func printLeases(out io.Writer, status *cluster.ClusterStatus) {
 	printInstances(out, status)
 	if status.Leader == "" {
-		fmt.Fprintln(out, "There is no keeper: no duty runs for longer than its lease. More than half of the instances must see each other.")
+		fmt.Fprintln(out,
+			"There is no leader (keeper): no duty runs past the end of its lease. More than half of the instances must be connected.")
 	}
-	table := newTable(out, "duty", "owner", "lease for", "fencing number", "last run", "result")
+	table := newTable(out, "duty", "owner", "lease left", "fencing number", "last run", "result")
 	for _, duty := range status.Duties {
 		owner, ran := duty.Owner, "never"
 		if owner == "" {
@@ -29,7 +30,7 @@
 	table.Render()
 }
 
-// lastResult returns the result of the last run of a periodic job: running, done, or the first line of its error.
+// lastResult returns the state of a periodic job's last run: running, done, or the first line of its error.
 func lastResult(duty cluster.DutyStatus) string {
 	if duty.Running {
 		return "running"
@@ -41,10 +42,11 @@
 	return firstLine
 }
 
-// printInstances prints a table with a row for each instance; those that do not respond are last. Before it, each director that follows
-// control machines gets a table of its own.
+// printInstances prints a table with a row for each instance; instances that do not respond come last. Directors that follow control
+// machines are not in this table: each gets a separate table before it.
 func printInstances(out io.Writer, status *cluster.ClusterStatus) {
-	table := newTable(out, "instance", "role", "follows", "owns", "runs", "failed", "hang", "links up", "silent told", "alive told", "directors")
+	table := newTable(out, "instance", "role", "follows", "owns", "runs", "failed", "hang", "links up", "silent results", "alive results",
+		"directors")
 	for _, instance := range status.Instances {
 		if instance.Follower != nil {
 			printFollower(out, instance.Follower)
@@ -70,19 +72,20 @@
 			instance.Bus.Subscribers.Connected,
 		})
 		if len(instance.Lists) > 0 {
-			fmt.Fprintf(out, "%s and %s know other control machines: they refuse each other's messages about duties.\n", instance.Name,
+			fmt.Fprintf(out, "%s and %s have different lists of control machines, so they reject each other's messages about duties.\n",
+				instance.Name,
 				strings.Join(instance.Lists, ", "))
 		}
 	}
 	for _, name := range status.Unreachable {
-		table.AppendRow([]any{name, "does not answer"})
+		table.AppendRow([]any{name, "no response"})
 	}
 	table.Render()
 }
 
-// printFollower prints the links of a director that follows control machines.
+// printFollower prints the links of a director to control machines, and what it has received over them.
 func printFollower(out io.Writer, follower *cluster.FollowerStatus) {
-	table := newTable(out, "control machine", "state", "dials", "rtt ms")
+	table := newTable(out, "control machine", "state", "dials", "RTT ms")
 	for _, link := range follower.Uplinks.Links {
 		state := link.State
 		if link.Name == follower.Uplinks.Active {
@@ -91,10 +94,12 @@
 		table.AppendRow([]any{link.Name, state, link.Dials, fmt.Sprintf("%.1f", link.RTT)})
 	}
 	table.Render()
-	fmt.Fprintf(out, "%s took %d notes, %d silent and %d alive told.\n", follower.Name, follower.Feed.Accepted, follower.Health.Silent,
+	fmt.Fprintf(out, "%s accepted %d notes and, of health checks, %d silent and %d alive results.\n", follower.Name, follower.Feed.Accepted,
+		follower.Health.Silent,
 		follower.Health.Alive)
 	if follower.LeaderlessFor > 0 {
-		fmt.Fprintf(out, "For %v it has heard of no majority of control machines: it serves by its own judgement.\n",
+		fmt.Fprintf(out,
+			"For %v, no majority of control machines has followed a leader as far as it knows: it decides by its own health data only.\n",
 			follower.LeaderlessFor.Round(time.Second))
 	}
 }
--- a/cmd/indigochute/logflags.go
+++ b/cmd/indigochute/logflags.go
@@ -14,7 +14,7 @@
 	logFormatJSON = "json"
 )
 
-// logFlags are the flags of the log. All commands have them.
+// logFlags are the flags that configure the log. All commands accept them.
 type logFlags struct {
 	format, level string
 	verbose       bool
@@ -23,12 +23,12 @@
 // add defines the flags on a command and all its subcommands.
 func (f *logFlags) add(command *cobra.Command) {
 	flags := command.PersistentFlags()
-	flags.StringVar(&f.format, "log-format", logFormatText, "form of log lines: text or json")
-	flags.StringVar(&f.level, "log-level", "info", "least level of log lines: error, warn, info, debug")
-	flags.BoolVarP(&f.verbose, "verbose", "v", false, "log each request as well, as --log-level debug does")
+	flags.StringVar(&f.format, "log-format", logFormatText, "format of log lines: text or json")
+	flags.StringVar(&f.level, "log-level", "info", "least severe level that is logged: error, warn, info or debug")
+	flags.BoolVarP(&f.verbose, "verbose", "v", false, "also log each request; the same as --log-level debug")
 }
 
-// parse returns whether log lines are JSON, and the least severe level that is logged. Its errors are usage errors.
+// parse returns whether log lines are JSON and which is the least severe level that is logged. Its errors are usage errors.
 func (f *logFlags) parse() (asJSON bool, level logrus.Level, err error) {
 	level, err = logrus.ParseLevel(f.level)
 	if err != nil {
@@ -41,10 +41,10 @@
 	case logFormatText, logFormatJSON:
 		return f.format == logFormatJSON, level, nil
 	}
-	return false, 0, usageError{fmt.Errorf("--log-format: %q is neither text nor json", f.format)}
+	return false, 0, usageError{fmt.Errorf("--log-format: unknown format %q, expected text or json", f.format)}
 }
 
-// newLogger returns a logger that writes to out, with the format and the level of the flags.
+// newLogger returns a logger that writes to out in the format and from the level that the flags select.
 func (f *logFlags) newLogger(out io.Writer) (*logrus.Logger, error) {
 	asJSON, level, err := f.parse()
 	if err != nil {
--- a/cmd/indigochute/main.go
+++ b/cmd/indigochute/main.go
@@ -1,5 +1,5 @@
-// Indigochute runs a director, which routes requests to cache servers, and the tools around it. Each command has a file of its own. The
-// commands only read flags, call other packages and print.
+// Indigochute runs a director, which routes requests to cache servers, and the tools around it. Each command has its own file. Commands
+// only parse flags, call other packages and print results.
 package main
 
 import (
@@ -20,20 +20,20 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// usageError is a fault of the command line. The program prints it with the usage text and ends with exitUsageError.
+// usageError is an error in the command line. The program prints it with the usage text and exits with exitUsageError.
 type usageError struct{ error }
 
-// Unwrap returns the fault itself, for errors.Is and errors.As.
+// Unwrap returns the wrapped error, for errors.Is and errors.As.
 func (e usageError) Unwrap() error { return e.error }
 
-// errReported ends the program with exitFailure and prints nothing, since the command has printed the failure.
+// errReported makes the program exit with exitFailure without printing an error, because the command has already printed the failure.
 var errReported = errors.New("failure already printed")
 
-// newRootCommand returns the root of all commands.
+// newRootCommand returns the root command with all its subcommands.
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "indigochute",
-		Short:         "Decide where objects are served, cached and filled from",
+		Short:         "Run a director, which decides where objects are served, cached and filled from, and its tools",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args: func(_ *cobra.Command, args []string) error {
@@ -57,10 +57,10 @@
 
 // commandExpected is the RunE of a command that has only subcommands.
 func commandExpected(*cobra.Command, []string) error {
-	return usageError{errors.New("a command is expected")}
+	return usageError{errors.New("a subcommand is required")}
 }
 
-// exactArgs accepts a number of arguments. Any other number is a usage error.
+// exactArgs returns a check that a command has exactly count arguments. Any other number is a usage error.
 func exactArgs(count int) cobra.PositionalArgs {
 	return func(command *cobra.Command, args []string) error {
 		if err := cobra.ExactArgs(count)(command, args); err != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// run runs a command line, without the program's name, and returns the exit code. It prints errors to stderr, and after a wrong command
-// line the usage text too.
+// run runs the command line in args, which does not contain the program's name, and returns the exit code. It prints errors to stderr;
+// after a usage error it prints the usage text too.
 func run(args []string, stdout, stderr io.Writer) int {
 	root := newRootCommand()
 	root.SetArgs(args)
--- a/cmd/indigochute/output.go
+++ b/cmd/indigochute/output.go
@@ -8,7 +8,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// newTable returns a table with a header. Its Render method prints it to out.
+// newTable returns a table with the given column headers. Its Render method prints it to out.
 func newTable(out io.Writer, header ...any) table.Writer {
 	writer := table.NewWriter()
 	writer.SetOutputMirror(out)
@@ -17,7 +17,7 @@
 	return writer
 }
 
-// printResult prints the result of a command: as JSON where asJSON is set, otherwise by printText.
+// printResult prints the result of a command: as JSON if asJSON is set, otherwise by calling printText.
 func printResult(out io.Writer, asJSON bool, value any, printText func(out io.Writer)) error {
 	if asJSON {
 		return printJSON(out, value)
@@ -36,5 +36,5 @@
 // percent formats a share from 0 to 1.
 func percent(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) }
 
-// times formats a factor.
+// times formats a factor with three significant digits.
 func times(factor float64) string { return fmt.Sprintf("%.3g", factor) }
--- a/cmd/indigochute/plan.go
+++ b/cmd/indigochute/plan.go
@@ -31,25 +31,25 @@
 // add defines the flags on a command and all its subcommands.
 func (f *planFlags) add(command *cobra.Command) {
 	flags := command.PersistentFlags()
-	flags.StringArrayVar(&f.captures, "load", nil, "a capture; several are taken together, one a director")
-	flags.StringVar(&f.goal, "goal", "all 98% in its aim", "what the service is to hold")
-	flags.Uint64Var(&f.seed, "seed", 1, "of all that is drawn")
+	flags.StringArrayVar(&f.captures, "load", nil, "path of a capture; repeat the flag to merge the captures of several directors")
+	flags.StringVar(&f.goal, "goal", "all 98% in its aim", "goal that the service must meet")
+	flags.Uint64Var(&f.seed, "seed", 1, "seed of all random choices")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 }
 
-// planInput is the checked input of a plan, with the planner for it.
+// planInput is the validated input of a plan, with a planner for it.
 type planInput struct {
 	fleet    *topology.Topology
 	demand   *capacity.Demand
 	goal     *capacity.Goal
 	planner  *capacity.Planner
-	warnings []string // sentences on what was left out of the captures
+	warnings []string // sentences that say what was excluded from the captures
 }
 
-// planMemoryLimit is the soft memory limit of the process while it plans, in bytes. Above it garbage is collected more often.
+// planMemoryLimit is the soft memory limit, in bytes, of the process during a plan. Above it, garbage is collected more often.
 const planMemoryLimit = 400e6
 
-// readInput reads a fleet's description, the captures and the goal. It sets the memory limit of the process.
+// readInput reads a fleet description, the captures and the goal. It also sets the memory limit of the process.
 func (f *planFlags) readInput(path string) (*planInput, error) {
 	debug.SetMemoryLimit(planMemoryLimit)
 	description, err := topology.Read(path)
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	if len(f.captures) == 0 {
-		return nil, usageError{errors.New("--load: a capture is expected, as serve --capture or emulate --capture write it")}
+		return nil, usageError{errors.New("--load is required: a capture that serve --capture or emulate --capture has written")}
 	}
 	var captures []*capture.Capture
 	for _, file := range f.captures {
@@ -80,8 +80,8 @@
 	return input, nil
 }
 
-// runConcurrently is a capacity.Runner that runs as many setups at the same time as there are cores. It returns after all have ended:
-// the results, or the first error in the order of the setups.
+// runConcurrently is a capacity.Runner that runs as many setups concurrently as there are cores. After all have ended it returns the
+// results, or the first error in the order of the setups.
 func runConcurrently(description *topology.Topology, demand *capacity.Demand, setups []capacity.Setup) ([]*capacity.Result, error) {
 	results := make([]*capacity.Result, len(setups))
 	errs := make([]error, len(setups))
@@ -103,19 +103,19 @@
 	return results, nil
 }
 
-// planCommand returns the command that predicts from captures at which load a goal breaks. It is the parent of the other commands about
-// capacity.
+// planCommand returns the command that predicts from captures at which load a goal is no longer met. It is the parent of the other
+// commands for capacity planning.
 func planCommand() *cobra.Command {
 	flags := &planFlags{}
 	command := &cobra.Command{
 		Use:   "plan FLEET --load CAPTURE",
-		Short: "Tell from a captured load what breaks first, how many caches a goal needs, what a loss does",
+		Short: "Predict from a captured load which limit breaks a goal first, and the effect of losses",
 		Example: "  indigochute plan examples/plan/small.yaml --load examples/plan/small.capture\n" +
 			"  indigochute plan fleet.yaml --load today.capture --goal 'page 98% in its aim at 300 reqs/s also after the loss of zone east'",
 		Args: exactArgs(1),
 	}
 	flags.add(command)
-	reportFolder := command.Flags().String("report", "", "write plan.html, one page with charts, into this folder as well")
+	reportFolder := command.Flags().String("report", "", "also write plan.html, a page with charts, to this folder")
 	command.AddCommand(planMeasureCommand(flags), planNeedCommand(flags))
 	command.RunE = func(command *cobra.Command, args []string) error {
 		input, err := flags.readInput(args[0])
@@ -145,7 +145,7 @@
 	return command
 }
 
-// answerWithNotes is the JSON form of an answer, with notes on what was left out of the captures.
+// answerWithNotes is the JSON form of an answer, with notes that say what was excluded from the captures.
 type answerWithNotes struct {
 	*capacity.Answer
 	Notes []string `json:"notes"`
@@ -161,7 +161,7 @@
 // reportFile is the name of the page that --report writes.
 const reportFile = "plan.html"
 
-// writeReport writes the page with charts into a folder. It creates the folder where it does not exist.
+// writeReport writes the page with charts to a folder. It creates the folder if it does not exist.
 func (p *planInput) writeReport(folder string, answer *capacity.Answer) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
--- a/cmd/indigochute/plan_need.go
+++ b/cmd/indigochute/plan_need.go
@@ -9,18 +9,18 @@
 	"indigochute.example/indigochute/internal/capacity"
 )
 
-// planNeedCommand returns the command that prints the fewest caches by zone with which a goal holds.
+// planNeedCommand returns the command that prints the smallest number of caches in each zone with which a goal holds.
 func planNeedCommand(flags *planFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "need FLEET --load CAPTURE --goal GOAL",
-		Short: "Tell how many caches of a kind each zone needs for a goal",
-		Long: "Finds the fewest caches by zone with which the goal holds at its rate: plain, and under each loss that it names.\n" +
-			"Ends with 1 where no number does, and says which limit stands in the way.",
+		Short: "Print how many caches of a kind each zone needs for a goal",
+		Long: "Finds the smallest number of caches in each zone with which the goal holds at its rate, without a loss and under each loss\n" +
+			"that the goal names. If no number is enough, the exit code is 1, and the limit that prevents it is printed.",
 		Example: "  indigochute plan need examples/plan/zones.yaml --load examples/plan/zones.capture \\\n" +
 			"    --goal 'page 98% in its aim at 150 reqs/s also after the loss of zone east'",
 		Args: exactArgs(1),
 	}
-	kind := command.Flags().String("kind", "", "which caches to count; default the first kind of the fleet")
+	kind := command.Flags().String("kind", "", "kind of the caches to count; if empty, the first kind of the fleet")
 	command.RunE = func(command *cobra.Command, args []string) error {
 		input, err := flags.readInput(args[0])
 		if err != nil {
@@ -47,16 +47,16 @@
 	return command
 }
 
-// needsAnswer is the JSON form of what plan need prints. Its fields are in the alphabetical order of their keys.
+// needsAnswer is the JSON form of the result of plan need. Its fields are in the alphabetical order of their keys.
 type needsAnswer struct {
 	Goal  string           `json:"goal"`
 	Needs []*capacity.Need `json:"needs"`
-	Unmet string           `json:"unmet"` // why no number of caches meets the goal; empty: one does
+	Unmet string           `json:"unmet"` // why no number of caches meets the goal; empty: some number does
 }
 
-// printNeeds prints a row for each zone of each need. The zones are in the order of the description.
+// printNeeds prints a row for each zone of each need. The zones are in the order of the fleet description.
 func (p *planInput) printNeeds(out io.Writer, needs []*capacity.Need) {
-	table := newTable(out, "under", "zone", "kind", "now", "needed", "in their aim")
+	table := newTable(out, "under", "zone", "kind", "now", "needed", "within aim")
 	for _, need := range needs {
 		for _, zone := range p.fleet.Zones {
 			if required, ok := need.Required[zone.Name]; ok {
--- a/cmd/indigochute/plan_test.go
+++ b/cmd/indigochute/plan_test.go
@@ -16,8 +16,8 @@
 	smallCapture = "../../examples/plan/small.capture"
 )
 
-// TestPlanPredictsFirstBreak: a plan of the example predicts that the cores break first, and writes its page. The command ends with 1 where
-// the goal does not hold.
+// TestPlanPredictsFirstBreak checks that the plan of the example predicts cores as the limit that breaks first, and writes its page. The
+// exit code is 1 if the goal does not hold.
 func TestPlanPredictsFirstBreak(t *testing.T) {
 	folder := t.TempDir()
 	code, stdout, stderr := runCommand("plan", smallFleet, "--load", smallCapture, "--json", "--report", folder)
@@ -26,24 +26,24 @@
 		t.Fatalf("exit %d, %v: %s", code, err, stderr)
 	}
 	if len(answer.Causes) == 0 || answer.Causes[0].Limit.Resource != "cores" {
-		t.Errorf("causes %+v, want cores first", answer.Causes)
+		t.Errorf("got causes %+v, want cores first", answer.Causes)
 	}
 	first := answer.FirstBreak
 	if first.Factor < 2 || first.Factor > 2.8 || first.Low > first.Factor || !answer.Met {
-		t.Errorf("met %v, breaks at %+v, want a goal that is met and breaks at 2 to 2.8 times the load", answer.Met, first)
+		t.Errorf("got met %v and a break at %+v, want a goal that is met and breaks at 2 to 2.8 times the load", answer.Met, first)
 	}
 	page, err := os.ReadFile(filepath.Join(folder, "plan.html"))
 	if err != nil || strings.Count(string(page), `src="data:image/png`) < 3 || strings.Contains(string(page), "http") {
-		t.Errorf("a page of %d bytes, error %v, want three images or more and no links", len(page), err)
+		t.Errorf("got a page of %d bytes and error %v, want at least three images and no links", len(page), err)
 	}
 	code, stdout, stderr = runCommand("plan", smallFleet, "--load", smallCapture, "--goal", "page 98% in its aim at 900 reqs/s")
 	if code != 1 || !strings.Contains(stdout, "NOT met") {
-		t.Errorf("a goal that does not hold: exit %d, %s%s", code, stdout, stderr)
+		t.Errorf("goal that does not hold: got exit code %d, want 1 and NOT met: %s%s", code, stdout, stderr)
 	}
 }
 
-// TestCommandFailures: a plan with missing or faulty input, and other commands that cannot run, end with the exit code of their failure and
-// print its cause. Rows that are left out of a capture are reported in a note, and are no failure.
+// TestCommandFailures checks the exit code and the printed cause of commands with missing or faulty input. Rows that are excluded from a
+// capture are reported in a note and are not a failure.
 func TestCommandFailures(t *testing.T) {
 	complete := readTestFile(t, smallCapture)
 	folder := t.TempDir()
@@ -54,7 +54,7 @@
 	cases := []struct {
 		name string
 		code int
-		want string // part of what is printed
+		want string // part of the output
 		args []string
 	}{
 		{"no capture", 2, "--load", []string{"plan", smallFleet}},
@@ -73,7 +73,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			if code, stdout, stderr := runCommand(test.args...); code != test.code || !strings.Contains(stdout+stderr, test.want) {
-				t.Errorf("%v: exit %d, lacks %q: %s", test.args, code, test.want, stderr)
+				t.Errorf("%v: got exit code %d, want output with %q: %s", test.args, code, test.want, stderr)
 			}
 		})
 	}
--- a/cmd/indigochute/scaling.go
+++ b/cmd/indigochute/scaling.go
@@ -19,49 +19,49 @@
 	"indigochute.example/indigochute/internal/testing/scaling"
 )
 
-// Bounds of a run of scaling.
+// Bounds on a run of scaling.
 const (
 	scalingTimeout    = 10 * time.Minute // for building and running all benchmarks
 	maxBenchmarkCount = 20               // runs of each benchmark
 	maxBenchtime      = time.Minute      // duration of each run
 )
 
-// scalingResult is what scaling prints.
+// scalingResult is the result that scaling prints.
 type scalingResult struct {
-	Figures []scaling.Growth `json:"figures"`
-	Broken  []string         `json:"broken"` // benchmarks and packages that could not be run, and values that could not be read
+	Figures  []scaling.Growth `json:"figures"`
+	Failures []string         `json:"broken"` // benchmarks and packages that could not be run, and values that could not be read
 }
 
-// benchmarkRun holds the flags of scaling that say which benchmarks are run and how.
+// benchmarkRun holds the flags of scaling that select the benchmarks and how they run.
 type benchmarkRun struct {
-	pattern   string // regular expression of the names, as for go test -bench
-	benchtime string // duration of each run, as for go test -benchtime
-	count     int    // runs of each benchmark
+	pattern   string // regular expression for the names, as in go test -bench
+	benchtime string // duration of each run, as in go test -benchtime
+	count     int    // number of runs of each benchmark
 }
 
-// scalingCommand returns the command that measures how costs grow with sizes. The command exists under two names, so the name is an
-// argument.
+// scalingCommand returns the command that measures how costs grow with sizes. The name is a parameter, because the command is added under
+// two names.
 func scalingCommand(name string) *cobra.Command {
 	command := &cobra.Command{
 		Use:   name,
-		Short: "Measure how the cost of each part grows with sizes, and what is foretold of the largest",
-		Long: "Runs the benchmarks by size, BenchmarkScaleWHAT/UNIT=SIZE, of one package after the other, from the root of a\n" +
-			"checkout, for ten minutes at most. Lays a line through the medians of the sizes up to half of the largest and compares\n" +
-			"what it foretells of the largest with what was measured. What go test prints goes to standard error. A figure that is\n" +
-			"bent is a finding and no failure: ends with 1 only where a benchmark could not be run.",
+		Short: "Measure how costs grow with sizes, and compare the measurement at the largest size with a prediction",
+		Long: "Runs the benchmarks that measure by size, BenchmarkScaleWHAT/UNIT=SIZE, one package after another, for at most ten minutes. Must be\n" +
+			"run from the root of a checkout. Fits a line through the medians of the sizes up to half of the largest, and compares its\n" +
+			"prediction for the largest size with the measured value. The output of go test goes to standard error. A prediction that is\n" +
+			"off (verdict bent) is a finding, not a failure. The exit code is 1 only if a benchmark could not be run.",
 		Example: "  indigochute " + name + " --run ScaleDuty --count 5\n  indigochute " + name + " --benchtime 1s --json",
 		Args:    exactArgs(0),
 	}
 	var benchmarks benchmarkRun
-	command.Flags().StringVar(&benchmarks.pattern, "run", "^BenchmarkScale", "regular expression of the benchmarks, as go test -bench takes it")
-	command.Flags().StringVar(&benchmarks.benchtime, "benchtime", "200ms", "of each run: a time, or iterations such as 100x")
-	command.Flags().IntVar(&benchmarks.count, "count", 3, "runs of each, of which the median counts")
+	command.Flags().StringVar(&benchmarks.pattern, "run", "^BenchmarkScale", "regular expression for the benchmarks, as in go test -bench")
+	command.Flags().StringVar(&benchmarks.benchtime, "benchtime", "200ms", "duration of each run, or a number of iterations such as 100x")
+	command.Flags().IntVar(&benchmarks.count, "count", 3, "number of runs of each benchmark; their median is used")
 	asJSON := command.Flags().Bool("json", false, "print JSON")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		if err := benchmarks.check(); err != nil {
 			return usageError{err}
 		}
-		text, failure := benchmarks.runInTime(command.ErrOrStderr())
+		text, failure := benchmarks.runWithTimeout(command.ErrOrStderr())
 		if text == "" && failure != nil {
 			return failure
 		}
@@ -73,15 +73,15 @@
 		if failure != nil {
 			return failure
 		}
-		return result.failure(benchmarks.pattern)
+		return result.exitError(benchmarks.pattern)
 	}
 	return command
 }
 
-// check returns an error where a flag is out of its bounds or go test would reject it.
+// check returns an error if a flag is out of bounds or go test would reject it.
 func (b *benchmarkRun) check() error {
 	if b.count < 1 || b.count > maxBenchmarkCount {
-		return fmt.Errorf("--count from 1 to %d is expected", maxBenchmarkCount)
+		return fmt.Errorf("--count must be from 1 to %d", maxBenchmarkCount)
 	}
 	if err := checkBenchtime(b.benchtime); err != nil {
 		return err
@@ -94,56 +94,57 @@
 	return nil
 }
 
-// iterationsPattern matches a number of iterations, as go test -benchtime accepts it.
+// iterationsPattern matches a number of iterations in the form that go test -benchtime accepts.
 var iterationsPattern = regexp.MustCompile(`^[1-9][0-9]{0,8}x$`)
 
-// checkBenchtime returns an error for a value that go test would reject, and for a duration over maxBenchtime, which could not end within
-// scalingTimeout.
+// checkBenchtime returns an error for a value that go test would reject, and for a duration above maxBenchtime, with which the benchmarks
+// could not finish within scalingTimeout.
 func checkBenchtime(text string) error {
 	if iterationsPattern.MatchString(text) {
 		return nil
 	}
 	if duration, err := time.ParseDuration(text); err != nil || duration <= 0 || duration > maxBenchtime {
-		return fmt.Errorf("--benchtime: %q is neither a time of up to 1m nor a number of iterations such as 100x", text)
+		return fmt.Errorf("--benchtime: invalid value %q, expected a duration of up to 1m or a number of iterations such as 100x", text)
 	}
 	return nil
 }
 
-// runInTime runs the benchmarks of the checkout in the working directory, until scalingTimeout or a signal. It returns what go test has
-// printed by then, with an error too.
-func (b *benchmarkRun) runInTime(progress io.Writer) (string, error) {
+// runWithTimeout runs the benchmarks of the checkout in the working directory until they end, scalingTimeout expires or a signal arrives.
+// It returns the output of go test so far, also with an error.
+func (b *benchmarkRun) runWithTimeout(progress io.Writer) (string, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	timedOut := fmt.Errorf("not done within %v; what is told is of those benchmarks that were", scalingTimeout)
+	timedOut := fmt.Errorf("not finished within %v; the results cover only the benchmarks that were", scalingTimeout)
 	ctx, cancel := context.WithTimeoutCause(ctx, scalingTimeout, timedOut)
 	defer cancel()
 	return b.run(ctx, ".", progress)
 }
 
-// failure returns the error with which the command ends, or nil: a benchmark could not be run or read, or none matched.
-func (r *scalingResult) failure(pattern string) error {
-	if len(r.Broken) > 0 {
-		return fmt.Errorf("%d benchmarks could not be run or read", len(r.Broken))
+// exitError returns the error with which the command ends: a benchmark could not be run or its output not parsed, or none matched. It
+// returns nil if there is no such error.
+func (r *scalingResult) exitError(pattern string) error {
+	if len(r.Failures) > 0 {
+		return fmt.Errorf("%d benchmarks or packages could not be run, or their output not parsed", len(r.Failures))
 	}
 	if len(r.Figures) == 0 {
-		return fmt.Errorf("no benchmark by size matches %q", pattern)
+		return fmt.Errorf("no benchmark that measures by size matches %q", pattern)
 	}
 	return nil
 }
 
-// print prints a row for each figure, then a line for each thing that could not be run or read.
+// print prints a row for each figure, then a line for each benchmark, package or value that could not be run or parsed.
 func (r *scalingResult) print(out io.Writer) {
-	table := newTable(out, "figure", "unit", "sizes", "slope", "at 0", "farthest", "foretold", "measured", "shape", "verdict")
+	table := newTable(out, "figure", "unit", "sizes", "slope", "value at 0", "farthest", "foretold", "measured", "shape", "verdict")
 	for i := range r.Figures {
 		table.AppendRow(growthCells(&r.Figures[i]))
 	}
 	table.Render()
-	for _, line := range r.Broken {
-		fmt.Fprintln(out, "not run or not read:", line)
+	for _, line := range r.Failures {
+		fmt.Fprintln(out, "not run or not parsed:", line)
 	}
 }
 
-// growthCells returns the cells of one figure. Where there are too few sizes for a fitted line, the cells that need one are empty.
+// growthCells returns the table cells of one figure. If there are too few sizes to fit a line, the cells that need the line are empty.
 func growthCells(growth *scaling.Growth) []any {
 	var sizes []string
 	for _, point := range growth.Points {
@@ -165,10 +166,10 @@
 		figure(growth.Predicted), figure(growth.Measured), shape, verdict}
 }
 
-// roundingError is the ratio of a value to a figure below which the value is only a rounding error.
+// roundingError is the ratio below which a value is only a rounding error of the figure that it is computed from.
 const roundingError = 1e-9
 
-// withoutRounding returns a value, or 0 where it is so small in relation to a figure that it is only a rounding error.
+// withoutRounding returns a value, or 0 if it is only a rounding error relative to the given figure.
 func withoutRounding(value, relativeTo float64) float64 {
 	if math.Abs(value) < roundingError*math.Abs(relativeTo) {
 		return 0
@@ -176,5 +177,5 @@
 	return value
 }
 
-// figure formats a measured value.
+// figure formats a measured value with four significant digits.
 func figure(value float64) string { return strconv.FormatFloat(value, 'g', 4, 64) }
--- a/cmd/indigochute/scenario.go
+++ b/cmd/indigochute/scenario.go
@@ -11,24 +11,25 @@
 	"indigochute.example/indigochute/internal/testing/scenario"
 )
 
-// listScenarios is the argument that lists the scenarios instead of running one.
+// listScenarios is the argument that prints the list of scenarios instead of running one.
 const listScenarios = "list"
 
-// scenarioCommand returns the command that runs a scripted failure test. The command exists under two names, so the name is an argument.
+// scenarioCommand returns the command that runs a scripted failure test. The name is a parameter, because the command is added under two
+// names.
 func scenarioCommand(name string) *cobra.Command {
 	command := &cobra.Command{
 		Use:   name + " NAME",
 		Short: "Run a scripted failure test of a subsystem against emulated machines on loopback",
-		Long: "Plays scripted failures against emulated machines, under a minute; scale takes up to two and a half, fewer with fewer directors.\n" +
-			"Ends with 1 where something was seen that should not be.\n" + name + " list names what there is.",
+		Long: "Runs scripted failures against emulated machines. A run takes less than a minute; only scale takes up to two and a half minutes,\n" +
+			"and less with fewer directors. The exit code is 1 if a violation was found. " + name + " list prints the names of the scenarios.",
 		Example: "  indigochute " + name + " list\n  indigochute " + name + " plan --seed 7 --json\n  indigochute " + name + " scale --directors 60 --control 5",
 		Args:    exactArgs(1),
 	}
-	seed := command.Flags().Uint64("seed", 1, "of all that is drawn")
+	seed := command.Flags().Uint64("seed", 1, "seed of all random choices")
 	asJSON := command.Flags().Bool("json", false, "print JSON")
 	var sizes scenario.Sizes
-	command.Flags().IntVar(&sizes.Directors, "directors", 580, "of scale: 5 to 580")
-	command.Flags().IntVar(&sizes.Control, "control", 9, "of scale: control machines, 3, 5, 7 or 9")
+	command.Flags().IntVar(&sizes.Directors, "directors", 580, "number of directors in the scale scenario, 5 to 580")
+	command.Flags().IntVar(&sizes.Control, "control", 9, "number of control machines in the scale scenario: 3, 5, 7 or 9")
 	command.RunE = func(command *cobra.Command, args []string) error {
 		out := command.OutOrStdout()
 		if args[0] == listScenarios {
@@ -55,14 +56,14 @@
 	return command
 }
 
-// printScenarios prints a line for each scenario.
+// printScenarios prints the name and the description of each scenario.
 func printScenarios(out io.Writer) {
 	for _, scenario := range scenario.All() {
 		fmt.Fprintf(out, "%-10s %s\n", scenario.Name, scenario.Description)
 	}
 }
 
-// printScenario prints the figures of a run in the order of their names, then its violations, then its record.
+// printScenario prints the figures of a run, sorted by name, then its violations and its record of events.
 func printScenario(out io.Writer, report *scenario.Report) {
 	table := newTable(out, report.Name, "")
 	for _, name := range slices.Sorted(maps.Keys(report.Figures)) {
--- a/cmd/indigochute/schema.go
+++ b/cmd/indigochute/schema.go
@@ -9,19 +9,19 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// schemaCommand returns the command that prints the JSON Schema of a kind of file.
+// schemaCommand returns the command that prints the JSON Schema of a fleet description or an operator file.
 func schemaCommand() *cobra.Command {
 	schemas := map[string]func() ([]byte, error){"fleet": topology.Schema, "operator": clusterconfig.Schema}
 	return &cobra.Command{
 		Use:       "schema fleet|operator",
-		Short:     "Print the JSON Schema of a fleet's description or of an operator file",
+		Short:     "Print the JSON Schema of a fleet description or of an operator file",
 		Example:   "  indigochute schema fleet > fleet.schema.json\n  indigochute schema operator > operator.schema.json",
 		Args:      exactArgs(1),
 		ValidArgs: []string{"fleet", "operator"},
 		RunE: func(command *cobra.Command, args []string) error {
 			schema := schemas[args[0]]
 			if schema == nil {
-				return usageError{fmt.Errorf("no schema of %q; there are those of fleet and operator", args[0])}
+				return usageError{fmt.Errorf("no schema named %q, expected fleet or operator", args[0])}
 			}
 			text, err := schema()
 			if err != nil {
--- a/cmd/indigochute/serve.go
+++ b/cmd/indigochute/serve.go
@@ -13,19 +13,20 @@
 	"indigochute.example/indigochute/internal/service"
 )
 
-// serveCommand returns the command that runs a director until a signal ends it.
+// serveCommand returns the command that runs a director until it receives SIGTERM or SIGINT.
 func serveCommand(log *logFlags) *cobra.Command {
 	command := &cobra.Command{
 		Use:   "serve",
-		Short: "Serve clients as the file that ROUTER_CONFIG names tells",
-		Long: "Serves clients until SIGTERM or SIGINT, then answers what is open and ends with 0.\nSIGHUP reads the file again.\n" +
-			"With --capture each request that ended is written to a new file, for indigochute plan.\n" +
-			"With --operator it talks with the other directors that the file names, and runs its part of the duties.",
+		Short: "Run a director with the configuration file that ROUTER_CONFIG names",
+		Long: "Serves clients until SIGTERM or SIGINT, then responds to all open requests and exits with 0.\nSIGHUP reloads the configuration.\n" +
+			"With --capture, a record of each completed request is written to a new file, for use by indigochute plan.\n" +
+			"With --operator, the director joins the cluster that the operator file describes, and runs its share of the periodic jobs (duties).",
 		Example: "  ROUTER_CONFIG=config.json indigochute serve\n  ROUTER_CONFIG=config.json indigochute serve --capture today.capture",
 		Args:    exactArgs(0),
 	}
-	captureFile := command.Flags().String("capture", "", "write what is seen of each request to this file, which must not be there yet")
-	clusterFile := command.Flags().String("operator", "", "operator file (YAML): talk with the other directors that it names; off by default")
+	captureFile := command.Flags().String("capture", "", "write a record of each request to this file, which must not exist yet")
+	clusterFile := command.Flags().String("operator", "",
+		"operator file (YAML) of the cluster to join; if empty, the director joins no cluster")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		asJSON, level, err := log.parse()
 		if err != nil {
@@ -45,8 +46,8 @@
 	return command
 }
 
-// captureInto returns a value for service.Options.Watch that writes a row for each ended request to a new file. The file must not exist
-// yet.
+// captureInto returns a function for service.Options.Watch that captures each completed request as a row of a new file. The file must not
+// exist yet.
 func captureInto(file string) func(*config.Config, time.Time, *logrus.Entry) (service.Watcher, error) {
 	return func(conf *config.Config, start time.Time, log *logrus.Entry) (service.Watcher, error) {
 		writer, err := capture.Create(file, serveHeader(conf, start), conf.Settings.Zone, processorTime)
@@ -58,13 +59,13 @@
 	}
 }
 
-// serveHeader returns the header of a director's capture. The rows count from the director's start on the monotonic clock. The header has
-// the wall-clock time of that start, so a later step of the wall clock moves no row.
+// serveHeader returns the header of a director's capture. Arrival times in the rows count from the director's start on the monotonic
+// clock. The header states the wall-clock time of that start, so a later step of the wall clock does not shift any row.
 func serveHeader(conf *config.Config, start time.Time) capture.Header {
 	return capture.Header{Director: conf.Name, Start: start.UnixMicro(), Classes: conf.ClassNames, Zones: conf.Zones}
 }
 
-// processorTime returns the processor time that this process has used, user and system, or 0 where the system does not report it.
+// processorTime returns the user and system processor time that this process has used, or 0 if the system does not report it.
 func processorTime() time.Duration {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/cmd/indigochute/serve_capture_test.go
+++ b/cmd/indigochute/serve_capture_test.go
@@ -14,18 +14,18 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// frameWait is longer than the time between two frames of a capture, which is one second.
+// frameWait is longer than the interval of one second between two frames of a capture.
 const frameWait = 1200 * time.Millisecond
 
-// servingProcess is a director that serves an emulated installation in a process of its own, with a capture.
+// servingProcess is a separate process with a director that serves an emulated installation and writes a capture.
 type servingProcess struct {
 	*exec.Cmd
-	capture string // path of its capture
+	capture string // path of the capture
 	log     *bytes.Buffer
 	leave   func() // must be called once the process has ended
 }
 
-// startServing starts a director in a process and waits until it listens. The process is killed at the end of the test if it still runs.
+// startServing starts a process with a director and waits until it listens. The process is killed at the end of the test if it still runs.
 func startServing(t *testing.T, installation *emulator.Fleet) *servingProcess {
 	t.Helper()
 	folder := t.TempDir()
@@ -51,20 +51,20 @@
 	return process
 }
 
-// TestServeCaptures: a director's process captures the requests that it serves. Killed with SIGKILL, it leaves a file that lacks only the
-// last moments.
-func TestServeCaptures(t *testing.T) {
+// TestServeCapturesRequests checks that the process of a director captures the requests that it serves. After SIGKILL, the file lacks only
+// the end.
+func TestServeCapturesRequests(t *testing.T) {
 	fleet, err := topology.Read(smallFleet)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
-		t.Run(signal.String(), func(t *testing.T) { testServeCaptures(t, fleet, signal) })
+		t.Run(signal.String(), func(t *testing.T) { testServeCapturesRequests(t, fleet, signal) })
 	}
 }
 
-// testServeCaptures loads a director, ends it with a signal and checks its capture.
-func testServeCaptures(t *testing.T, fleet *topology.Topology, signal syscall.Signal) {
+// testServeCapturesRequests sends requests to a director, ends its process with a signal and checks the capture.
+func testServeCapturesRequests(t *testing.T, fleet *topology.Topology, signal syscall.Signal) {
 	installation, err := emulator.Start(fleet, emulator.Options{Seed: 1})
 	if err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 	time.Sleep(frameWait)
 	process.Process.Signal(signal)
 	if err := process.Wait(); signal == syscall.SIGTERM && err != nil {
-		t.Errorf("ended with %v: %s", err, process.log)
+		t.Errorf("got %v at the end of the process, want exit code 0: %s", err, process.log)
 	}
 	process.leave()
 	installation.Close()
@@ -87,13 +87,13 @@
 		t.Fatal(err)
 	}
 	if len(captured.Rows) != len(requests) || captured.Report.CPU <= 0 {
-		t.Errorf("%d rows of %d requests, processor time %v", len(captured.Rows), len(requests), captured.Report.CPU)
+		t.Errorf("got %d rows, want %d; got processor time %v, want more than 0", len(captured.Rows), len(requests), captured.Report.CPU)
 	}
 	if total := result.Tally(-1); total.Met < len(requests)*9/10 {
-		t.Errorf("%+v, want nine in ten of %d requests within their objective", total, len(requests))
+		t.Errorf("got %+v, want nine in ten of %d requests within their latency objective", total, len(requests))
 	}
 	if complete := len(captured.Report.Excluded) == 0; complete != (signal == syscall.SIGTERM) {
-		t.Errorf("left out: %v", captured.Report.Notes())
+		t.Errorf("got notes %v, want some after SIGKILL only", captured.Report.Notes())
 	}
 	if violations := installation.Violations(); len(violations) > 0 {
 		t.Error(violations)
--- a/cmd/indigochute/serve_test.go
+++ b/cmd/indigochute/serve_test.go
@@ -19,8 +19,9 @@
 func (n *countingNode) Leave()                           {}
 func (n *countingNode) Close()                           {}
 
-// TestReloadOfUnreadableOperatorFiles: an operator file that cannot be read completely is not applied, and the log says why.
-func TestReloadOfUnreadableOperatorFiles(t *testing.T) {
+// TestReloadRejectsUnreadableOperatorFile checks that an operator file that cannot be read or parsed is not applied, and that the log says
+// why.
+func TestReloadRejectsUnreadableOperatorFile(t *testing.T) {
 	complete := readTestFile(t, "../../deploy/control.yaml")
 	path := filepath.Join(t.TempDir(), "operator.yaml")
 	write := func(content []byte) func() error {
@@ -28,7 +29,7 @@
 	}
 	cases := []struct {
 		name    string
-		prepare func() error // creates what path is to name; nothing is there before
+		prepare func() error // creates the file, folder or link at path, where nothing exists
 		want    string       // part of the log
 		reloads int
 	}{
@@ -53,9 +54,9 @@
 			node := &countingNode{}
 			member := &clusterMember{clusterNode: node, path: path, log: logrus.NewEntry(log)}
 			member.Reload()
-			rejected := strings.Contains(logged.String(), "operator file: not taken, what was in force stays")
+			rejected := strings.Contains(logged.String(), "operator file not reloaded; the previous configuration stays in force")
 			if node.reloads != test.reloads || !strings.Contains(logged.String(), test.want) || rejected != (test.reloads == 0) {
-				t.Errorf("reloaded %d times, want %d; logged %q, want %q", node.reloads, test.reloads, logged.String(), test.want)
+				t.Errorf("got %d reloads, want %d; got log %q, want %q in it", node.reloads, test.reloads, logged.String(), test.want)
 			}
 		})
 	}
--- a/cmd/indigochute/writefile.go
+++ b/cmd/indigochute/writefile.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// fileSystem is what writeFile needs of the file system. Tests replace it by one in which any step can fail.
+// fileSystem contains the file operations that writeFile needs. Tests replace it with one in which any operation can fail.
 type fileSystem interface {
 	Stat(path string) (fs.FileInfo, error)
 	Lstat(path string) (fs.FileInfo, error)
@@ -29,14 +29,14 @@
 	Close() error
 }
 
-// writeFile writes content, which was made from the file at source, to the file at target, completely or not at all.
+// writeFile atomically writes content, which was converted from the file at source, to the file at target.
 //
-//   - It never overwrites the source, and another file only with force.
-//   - Where it returns an error, the target is as it was before, and no other file stays in the folder. Where it cannot remove its own
-//     files, the error names those that stay.
-//   - Where the process is killed at any step, the target is either the old file or the new one, and complete. A file .migrate-* may stay
-//     beside it.
-//   - Once it has returned nil, the target survives a power failure, since the file and its folder are synced.
+//   - It never overwrites the source. It overwrites any other existing file only if force is set.
+//   - If it returns an error, the target is unchanged and no other file is left in the folder. If it cannot remove its own files, the error
+//     names those that are left.
+//   - If the process is killed at any step, the target is either the old file or the new one, and complete. A file .migrate-* may be left
+//     in the same folder.
+//   - After it has returned nil, the target survives a power failure, because the file and its folder are synced.
 func writeFile(disk fileSystem, source, target string, content []byte, force bool) error {
 	sourceInfo, err := disk.Stat(source)
 	if err != nil {
@@ -44,9 +44,9 @@
 	}
 	switch targetInfo, err := disk.Stat(target); {
 	case err == nil && os.SameFile(sourceInfo, targetInfo):
-		return fmt.Errorf("%s: it is the file that is read; it is never changed", target)
+		return fmt.Errorf("%s: is the source file, which is never changed", target)
 	case err == nil && !force:
-		return fmt.Errorf("%s: there already; --force writes over it", target)
+		return fmt.Errorf("%s: already exists; use --force to overwrite it", target)
 	case err != nil && !errors.Is(err, fs.ErrNotExist):
 		return err
 	}
@@ -87,8 +87,8 @@
 	return file.Name(), nil
 }
 
-// linkTarget gives a temporary file its final name. It returns an error where a file with that name has appeared in the meantime, which a
-// rename would overwrite.
+// linkTarget gives a temporary file its final name. It uses a hard link, since a rename would overwrite a file that has appeared under that
+// name in the meantime; that is an error instead.
 func linkTarget(disk fileSystem, written, target string) error {
 	if err := disk.Link(written, target); err != nil {
 		return withCleanup(err, remove(disk, written))
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// replaceTarget replaces the target by a temporary file. The old file keeps a second name until the folder is synced, so that it can be
-// restored.
+// replaceTarget replaces the target with a temporary file. The old file keeps a second name until the folder is synced, so that it can be
+// restored if a step fails.
 func replaceTarget(disk fileSystem, written, target string) error {
 	if _, err := disk.Lstat(target); errors.Is(err, fs.ErrNotExist) {
 		return linkTarget(disk, written, target)
@@ -125,18 +125,18 @@
 	return nil
 }
 
-// remove removes a file. Its error says which file stays.
+// remove removes a file. Its error names the file that is left.
 func remove(disk fileSystem, path string) error {
 	if err := disk.Remove(path); err != nil {
-		return fmt.Errorf("%s stays: %w", path, err)
+		return fmt.Errorf("%s is left in place: %w", path, err)
 	}
 	return nil
 }
 
-// restore gives the old file its name again. Its error says where the old file is.
+// restore renames the old file back to its original name. Its error says where the old file is.
 func restore(disk fileSystem, spare, target string) error {
 	if err := disk.Rename(spare, target); err != nil {
-		return fmt.Errorf("but %s is the new file, and the old one stays whole as %s: %w", target, spare, err)
+		return fmt.Errorf("%s is the new file, and the complete old one is left as %s: %w", target, spare, err)
 	}
 	return nil
 }
@@ -145,12 +145,12 @@
 func syncFolder(disk fileSystem, path string) error {
 	folder := filepath.Dir(path)
 	if err := disk.SyncFolder(folder); err != nil {
-		return fmt.Errorf("sync of the folder %s: %w", folder, err)
+		return fmt.Errorf("sync of folder %s: %w", folder, err)
 	}
 	return nil
 }
 
-// withCleanup joins an error with the errors of cleaning up after it, on one line. It leaves out those that are nil.
+// withCleanup joins an error with the errors of the cleanup after it, on one line. It skips nil errors.
 func withCleanup(err error, cleanupErrs ...error) error {
 	for _, cleanupErr := range cleanupErrs {
 		if cleanupErr != nil {
@@ -160,7 +160,7 @@
 	return err
 }
 
-// systemDisk is the file system of the machine.
+// systemDisk is the file system of the operating system.
 type systemDisk struct{}
 
 func (systemDisk) Stat(path string) (fs.FileInfo, error)  { return os.Stat(path) }
@@ -169,15 +169,15 @@
 func (systemDisk) Rename(old, new string) error           { return os.Rename(old, new) }
 func (systemDisk) Remove(path string) error               { return os.Remove(path) }
 
-// temporaryPattern is the pattern of temporary files' names, as os.CreateTemp takes it.
+// temporaryPattern is the pattern for the names of temporary files, see os.CreateTemp.
 const temporaryPattern = ".migrate-*"
 
 func (systemDisk) CreateTemp(folder string) (temporary, error) {
 	return os.CreateTemp(folder, temporaryPattern)
 }
 
-// SyncFolder syncs a folder. It returns nil for a folder that cannot be synced, because this process may not read it or its file system
-// does not support it.
+// SyncFolder syncs a folder. It returns nil if the folder cannot be synced because this process has no permission to read it or its file
+// system does not support syncs.
 func (systemDisk) SyncFolder(path string) error {
 	folder, err := os.Open(path)
 	if errors.Is(err, fs.ErrPermission) {
--- a/cmd/indigochute/writefile_test.go
+++ b/cmd/indigochute/writefile_test.go
@@ -12,12 +12,12 @@
 	"testing"
 )
 
-// faultyDisk is the system's file system with steps that are recorded and can be made to fail. A failing step has no effect, except that a
-// failing write writes half of the content.
+// faultyDisk is the file system of the operating system, but records each step and can make it fail. A failing step has no effect, except
+// that a failing write writes half of the content.
 type faultyDisk struct {
 	systemDisk
 	steps []string             // names of the steps so far
-	fails func(index int) bool // reports whether the step with an index fails; nil: none fails
+	fails func(index int) bool // reports whether the step at an index fails; nil: none fails
 }
 
 // step records a step and returns its error.
@@ -93,16 +93,16 @@
 	return f.temporary.Sync()
 }
 
-// Close closes the file even where it fails, as Linux does.
+// Close closes the file even if it returns an error, as Linux does.
 func (f *faultyFile) Close() error {
 	err := f.disk.step("close")
 	return errors.Join(err, f.temporary.Close())
 }
 
-// writeCase is a way to call writeFile, with the steps that it takes when none fails.
+// writeCase is a way to call writeFile, with the steps that it takes if none fails.
 type writeCase struct {
 	name          string
-	exists, force bool // the target exists before; writeFile may overwrite it
+	exists, force bool // the target exists before the call; it may be overwritten
 	steps         []string
 }
 
@@ -116,19 +116,19 @@
 	}
 )
 
-// Contents of the files. The new one is longer than the old one.
+// Contents of the files. The new content is longer than the old one.
 const (
 	oldContent    = "old content"
 	newContent    = "new content, longer"
 	sourceContent = "content of the source"
 )
 
-// writeFolder is a folder in which writeFile is called.
+// writeFolder is a folder with the files for a call of writeFile.
 type writeFolder struct {
 	path, source, target string
 }
 
-// prepare creates the folder with the source and, where the case needs one, the target.
+// prepare creates the folder with the source and, if the case needs it, the target.
 func (c writeCase) prepare(t *testing.T) writeFolder {
 	t.Helper()
 	path := t.TempDir()
@@ -144,7 +144,7 @@
 	return folder
 }
 
-// before returns the content of the target and the names of the files in the folder, before the call.
+// before returns the content of the target and the names of the files in the folder before the call of writeFile.
 func (c writeCase) before() (content, names string) {
 	if c.exists {
 		return oldContent, "source target"
@@ -152,7 +152,7 @@
 	return "", "source"
 }
 
-// content returns the content of a file, or "" where there is none.
+// content returns the content of a file, or "" if it does not exist.
 func content(t *testing.T, path string) string {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -176,7 +176,7 @@
 	return strings.Join(names, " ")
 }
 
-// TestWriteFileSteps: without faults, writeFile takes the expected steps, and the target has the new content and the mode of the source.
+// TestWriteFileSteps checks the steps of writeFile without faults. The target has the new content and the mode of the source.
 func TestWriteFileSteps(t *testing.T) {
 	for _, test := range writeCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -186,20 +186,20 @@
 				t.Fatal(err)
 			}
 			if !slices.Equal(disk.steps, test.steps) {
-				t.Errorf("steps %q, want %q", disk.steps, test.steps)
+				t.Errorf("got steps %q, want %q", disk.steps, test.steps)
 			}
 			info, err := os.Stat(folder.target)
 			if err != nil || info.Mode() != 0o640 || content(t, folder.target) != newContent || content(t, folder.source) != sourceContent {
-				t.Errorf("%v, %v, %q", info, err, content(t, folder.target))
+				t.Errorf("got target %v, error %v and content %q, want mode 0640 and the new content", info, err, content(t, folder.target))
 			}
 			if names := folder.names(t); names != "source target" {
-				t.Errorf("files %s", names)
+				t.Errorf("got files %s, want source and target", names)
 			}
 		})
 	}
 }
 
-// TestWriteFileIsAtomic: whichever step fails, the target is as it was before, no other file stays, and the error names the step.
+// TestWriteFileIsAtomic checks that if any one step fails, the target is unchanged, no other file is left, and the error names the step.
 func TestWriteFileIsAtomic(t *testing.T) {
 	for _, test := range writeCases {
 		for failing, step := range test.steps {
@@ -208,47 +208,51 @@
 				disk := &faultyDisk{fails: func(index int) bool { return index == failing }}
 				err := writeFile(disk, folder.source, folder.target, []byte(newContent), test.force)
 				if !errors.Is(err, syscall.EIO) || !strings.Contains(err.Error(), folder.target) || !strings.Contains(err.Error(), step) ||
-					strings.Contains(err.Error(), "\n") || strings.Contains(err.Error(), "stays") {
-					t.Errorf("error %v", err)
+					strings.Contains(err.Error(), "\n") || strings.Contains(err.Error(), "is left") {
+					t.Errorf("got error %v, want one line with EIO, the target and the step", err)
 				}
 				if disk.steps[failing] != step {
-					t.Errorf("step %d is %q", failing, disk.steps[failing])
+					t.Errorf("got step %d %q, want the one of the test's name", failing, disk.steps[failing])
 				}
 				wantContent, wantNames := test.before()
 				if content(t, folder.target) != wantContent || content(t, folder.source) != sourceContent {
-					t.Errorf("the target holds %q", content(t, folder.target))
+					t.Errorf("got content %q of the target, want it unchanged", content(t, folder.target))
 				}
 				if names := folder.names(t); names != wantNames {
-					t.Errorf("files %s", names)
+					t.Errorf("got files %s, want those before the call", names)
 				}
 			})
 		}
 	}
 }
 
-// TestWriteFileEndsAtAnyStep: where the disk fails from a step on, so that nothing can be cleaned up, the old file is still complete, and
-// the error names each file that stays. A kill at a step leaves the same files: the target is the old file or the new one.
-func TestWriteFileEndsAtAnyStep(t *testing.T) {
+// TestWriteFileOnPersistentFault checks a disk on which every step from a given one on fails, so that nothing can be cleaned up. The old
+// file is still complete, and the error names each file that is left. A kill at that step would leave the same files, so the target must be
+// either the old file or the new one.
+func TestWriteFileOnPersistentFault(t *testing.T) {
 	for _, test := range writeCases {
-		for firstFailing := range len(test.steps) + 1 { // the last: no step fails
-			t.Run(fmt.Sprintf("%s, step %d", test.name, firstFailing), func(t *testing.T) { testWriteFileEnds(t, test, firstFailing) })
+		for firstFailing := range len(test.steps) + 1 { // in the last round no step fails
+			t.Run(fmt.Sprintf("%s, step %d", test.name, firstFailing), func(t *testing.T) {
+				testWriteFileOnPersistentFault(t, test,
+					firstFailing)
+			})
 		}
 	}
 }
 
-// testWriteFileEnds calls writeFile on a disk that fails from a step on.
-func testWriteFileEnds(t *testing.T, test writeCase, firstFailing int) {
+// testWriteFileOnPersistentFault calls writeFile on a disk on which every step from firstFailing on fails.
+func testWriteFileOnPersistentFault(t *testing.T, test writeCase, firstFailing int) {
 	folder := test.prepare(t)
 	disk := &faultyDisk{fails: func(index int) bool { return index >= firstFailing }}
 	err := writeFile(disk, folder.source, folder.target, []byte(newContent), test.force)
 	old, _ := test.before()
 	got := content(t, folder.target)
 	if got != old && got != newContent || content(t, folder.source) != sourceContent {
-		t.Fatalf("the target holds %q, want the old content or the new", got)
+		t.Fatalf("got content %q of the target, want the old or the new content", got)
 	}
 	if err == nil {
 		if firstFailing < len(disk.steps) {
-			t.Error("no error")
+			t.Error("got no error, want one")
 		}
 		return
 	}
@@ -256,17 +260,17 @@
 	for name := range strings.FieldsSeq(folder.names(t)) {
 		path := filepath.Join(folder.path, name)
 		if name != "source" && name != "target" && !strings.Contains(err.Error(), path) {
-			t.Errorf("%s stays, and the error is %v", name, err)
+			t.Errorf("%s is left, but the error does not name it: %v", name, err)
 		}
 		oldExists = oldExists || name != "source" && content(t, path) == old
 	}
 	if !oldExists {
-		t.Errorf("the old file is gone, files %s", folder.names(t))
+		t.Errorf("the old file is lost, got files %s", folder.names(t))
 	}
 }
 
-// TestWriteFileKeepsATargetCreatedMeanwhile: a file that appears at the target while the new one is written is not overwritten.
-func TestWriteFileKeepsATargetCreatedMeanwhile(t *testing.T) {
+// TestWriteFileKeepsConcurrentlyCreatedTarget checks that writeFile does not overwrite a target that appears while it writes the new file.
+func TestWriteFileKeepsConcurrentlyCreatedTarget(t *testing.T) {
 	folder := writeCase{}.prepare(t)
 	disk := &faultyDisk{}
 	disk.fails = func(index int) bool {
@@ -277,9 +281,9 @@
 	}
 	err := writeFile(disk, folder.source, folder.target, []byte(newContent), false)
 	if !errors.Is(err, fs.ErrExist) || content(t, folder.target) != oldContent {
-		t.Errorf("error %v, the target holds %q, want fs.ErrExist and %q", err, content(t, folder.target), oldContent)
+		t.Errorf("got error %v and content %q of the target, want fs.ErrExist and %q", err, content(t, folder.target), oldContent)
 	}
 	if names := folder.names(t); names != "source target" {
-		t.Errorf("files %s", names)
+		t.Errorf("got files %s, want source and target", names)
 	}
 }
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,6 +1,6 @@
-// Simadapter connects the simulator with the decisions of many directors. It reads the simulator's events from standard input and writes
-// the actions to standard output. It exits with 0 once the input has ended, and with 1 after a malformed frame or where the output
-// fails. Its errors begin with drill, the former name of the program, since they may not change.
+// Simadapter connects the simulator to the routing decisions of many directors. It reads the simulator's events from standard input and
+// writes the resulting actions to standard output. It exits with 0 at the end of the input, and with 1 after a malformed frame or a failed
+// write. Its errors start with drill, the former name of the program, because this prefix must not change.
 package main
 
 import (
--- a/internal/testing/hollow/process_test.go
+++ b/internal/testing/hollow/process_test.go
@@ -123,7 +123,7 @@
 	if err := p.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the file is rejected", 5*time.Second, func() bool { return strings.Contains(p.Log(), "not taken") })
+	await(t, "the file is rejected", 5*time.Second, func() bool { return strings.Contains(p.Log(), "not reloaded") })
 	os.WriteFile(configFile, raw, 0o600)
 	if r, err := p.Report(1); err != nil || r.Nodes != 2 {
 		t.Errorf("report %+v, %v, want 2 nodes", r, err)
