--- a/internal/migrate/losses.go
+++ b/internal/migrate/losses.go
@@ -31,7 +31,7 @@
 		if share, ok := host["share"].(json.Number); !ok || !positive(share) {
 			lines = append(lines,
 				fmt.Sprintf("known: %v has no share, so its capacity counts as one transfer until the journal service reports it",
-				host["host"]))
+					host["host"]))
 		}
 	}
 	return lines
