--- a/internal/capture/capture.go
+++ b/internal/capture/capture.go
@@ -1,14 +1,14 @@
-// Package capture stores the records of requests that directors served in a file. A file is a sequence of versioned, compressed
-// frames with checksums. Of a truncated or damaged file all complete frames are read, and the rest is counted and reported.
+// Package capture stores the records of requests that directors served in files. A file is a sequence of versioned, compressed frames with
+// checksums. From a truncated or damaged file all complete frames are read, and the rest is counted and reported.
 //
 // A frame has these fields, with their lengths in bytes:
 //
 //	magic:4 version:1 kind:1 number:4 rows:4 dropped:4 size:4 sum:8 payload
 //
-// Numbers are little-endian. Number is the index of the frame in the file, rows the number of rows in the payload, size the length of
-// the payload in bytes, and sum the XXH64 checksum of the fields before it and the payload. Dropped is the number of rows that were
-// lost since the previous frame. The payload depends on the kind: 0 is a header in JSON, 1 contains rows (varints, compressed by zstd),
-// 2 ends the file and has no payload.
+// Numbers are little-endian. Number is the index of the frame in the file, rows the number of rows in the payload, size the length of the
+// payload in bytes, and sum the XXH64 checksum of the preceding fields and the payload. Dropped is the number of rows that were lost since
+// the previous frame. The payload depends on the kind: kind 0 contains the header in JSON, kind 1 contains rows (varints, compressed with
+// zstd), and kind 2 ends the file and has no payload.
 package capture
 
 import (
@@ -23,7 +23,7 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// Header has the names for the indexes in the rows, and the time from which the rows count.
+// Header contains the names that the indexes in the rows refer to, and the time from which arrivals count.
 type Header struct {
 	Director string   `json:"director"` // name of the director
 	Start    int64    `json:"start"`    // time from which arrivals count, in Unix microseconds
@@ -33,18 +33,18 @@
 
 // Row is the record of one request at a director.
 type Row struct {
-	At            time.Duration // arrival, from the header's start
+	At            time.Duration // arrival, as the time since the header's start
 	Object        uint64
 	Part          uint32
 	Group         uint32
-	Class         int16 // index in the header; -1: the director does not know the class
+	Class         int16 // index in the header; -1: the class is not in the director's configuration
 	Zone          int16 // index in the header
 	Disposition   director.Disposition
 	Fill          routing.Fill
-	Attempts      uint8         // 255: that many or more
+	Attempts      uint8         // 255 means 255 or more
 	RequestBytes  uint32        // length of the request's body
 	ResponseBytes uint32        // length of the response's body
-	FirstByte     time.Duration // from arrival to the first byte of the response; 0: none
+	FirstByte     time.Duration // from arrival to the first byte of the response; 0: no response
 	Complete      time.Duration // from arrival to the final response
 }
 
@@ -70,11 +70,11 @@
 // Capture is the content of a file, or of several files that were merged.
 type Capture struct {
 	Header
-	Rows   []Row // in the order of their arrival
+	Rows   []Row // in the order of arrival
 	Report Report
 }
 
-// Read reads a file. It returns an error only where the file cannot be read or has no header.
+// Read reads and parses a file. It returns an error only if the file cannot be read or has no valid header.
 func Read(path string) (*Capture, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -87,7 +87,7 @@
 	return captured, nil
 }
 
-// sortRows sorts the rows by arrival and counts them. Rows that arrived at the same time stay in their order.
+// sortRows sorts the rows by arrival and sets their number in the report. Rows with the same arrival keep their order.
 func (c *Capture) sortRows() {
 	slices.SortStableFunc(c.Rows, func(a, b Row) int { return cmp.Compare(a.At, b.At) })
 	c.Report.Rows = len(c.Rows)
--- a/internal/capture/capture_test.go
+++ b/internal/capture/capture_test.go
@@ -13,7 +13,7 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// testHeader is the header of the captures of these tests, and testHeaderJSON the payload of its frame.
+// testHeader is the header of the captures in these tests, and testHeaderJSON is the payload of its frame.
 var testHeader = Header{Director: "d0", Start: 5, Classes: []string{"page", "log"}, Zones: []string{"west", "east"}}
 
 const testHeaderJSON = `{"director":"d0","start":5,"vhosts":["page","log"],"zones":["west","east"]}`
@@ -21,7 +21,7 @@
 // testHeaderFrame returns the frame of testHeader.
 func testHeaderFrame() []byte { return appendFrame(nil, kindHeader, 0, 0, 0, []byte(testHeaderJSON)) }
 
-// someRows returns a number of rows, all different, in the order of their arrival.
+// someRows returns a number of different rows in the order of arrival.
 func someRows(count int) (rows []Row) {
 	for i := range count {
 		rows = append(rows, Row{
@@ -42,7 +42,7 @@
 	return rows
 }
 
-// fileOf returns a complete capture of rows.
+// fileOf returns the content of a complete file with the given rows.
 func fileOf(t *testing.T, rows []Row) []byte {
 	t.Helper()
 	var b bytes.Buffer
@@ -52,27 +52,27 @@
 	return b.Bytes()
 }
 
-// TestRoundTrip: a capture is read as it was written, without notes.
-func TestRoundTrip(t *testing.T) {
+// TestWriteAndParseRoundTrip checks that a capture is parsed as it was written, without notes.
+func TestWriteAndParseRoundTrip(t *testing.T) {
 	rows := someRows(10000)
 	captured, err := Parse(fileOf(t, rows))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(captured.Rows, rows) {
-		t.Errorf("%d rows were read, not the %d that were written", len(captured.Rows), len(rows))
+		t.Errorf("got %d rows, want the %d that were written", len(captured.Rows), len(rows))
 	}
 	if !reflect.DeepEqual(captured.Header, testHeader) {
-		t.Errorf("header %+v, want %+v", captured.Header, testHeader)
+		t.Errorf("got header %+v, want %+v", captured.Header, testHeader)
 	}
 	if notes := captured.Report.Notes(); len(notes) > 0 {
-		t.Errorf("notes %q, want none", notes)
+		t.Errorf("got notes %q, want none", notes)
 	}
 }
 
-// TestTruncatedAnywhere: of a file that ends at any byte, either all rows of its one frame are read or none, and notes say what is
-// missing. Without a complete header the file is an error.
-func TestTruncatedAnywhere(t *testing.T) {
+// TestParseTruncatedFile parses a file that is truncated at each byte. Either all rows of its only frame or none are read, and notes say
+// what is missing. A file without a complete header is an error.
+func TestParseTruncatedFile(t *testing.T) {
 	rows := someRows(60)
 	complete := fileOf(t, rows)
 	headerEnd := len(testHeaderFrame())
@@ -89,13 +89,14 @@
 		}
 		allOrNone := len(captured.Rows) == 0 || reflect.DeepEqual(captured.Rows, rows)
 		if notes := captured.Report.Notes(); !allOrNone || len(notes) == 0 {
-			t.Fatalf("cut at %d: %d rows, notes %q", cut, len(captured.Rows), notes)
+			t.Fatalf("cut at %d: got %d rows and notes %q, want all rows or none, and a note", cut, len(captured.Rows), notes)
 		}
 	}
 }
 
-// TestDamagedAnywhere: a changed byte costs at most the rows of its frame, and never invents a row.
-func TestDamagedAnywhere(t *testing.T) {
+// TestParseDamagedFile parses files with one changed byte. At most the rows of the damaged frame are lost, and no row is read that was not
+// written.
+func TestParseDamagedFile(t *testing.T) {
 	rows := someRows(3 * frameRows)
 	written := map[Row]bool{}
 	for _, row := range rows {
@@ -110,17 +111,17 @@
 			t.Fatalf("byte %d: %v", offset, err)
 		}
 		if len(captured.Rows) < 2*frameRows || len(captured.Report.Notes()) == 0 {
-			t.Fatalf("byte %d: %d rows, %+v, want the rows of two frames and a note", offset, len(captured.Rows), captured.Report)
+			t.Fatalf("byte %d: got %d rows and %+v, want the rows of two frames and a note", offset, len(captured.Rows), captured.Report)
 		}
 		for _, row := range captured.Rows {
 			if !written[row] {
-				t.Fatalf("byte %d: invented %+v", offset, row)
+				t.Fatalf("byte %d: got row %+v, which was not written", offset, row)
 			}
 		}
 	}
 }
 
-// frameOfNextVersion returns a frame without a payload whose version is higher than the known one. Its checksum is right.
+// frameOfNextVersion returns a frame without a payload, with a correct checksum and a version above the supported one.
 func frameOfNextVersion(number uint32, rows int) []byte {
 	frame := appendFrame(nil, kindRows, number, rows, 0, nil)
 	frame[versionAt] = version + 1
@@ -128,8 +129,9 @@
 	return frame
 }
 
-// TestOrderAndVersion: rows of frames out of order are sorted, frames of another version are excluded, and notes say so.
-func TestOrderAndVersion(t *testing.T) {
+// TestParseFramesOutOfOrderOrOfUnknownVersion checks that the rows of frames that are out of order are sorted, that frames with another
+// version are excluded, and that notes say so.
+func TestParseFramesOutOfOrderOrOfUnknownVersion(t *testing.T) {
 	rows := someRows(20)
 	content := appendFrame(nil, kindHeader, 0, 0, 0, []byte(`{"vhosts":["page","log"],"zones":["west","east"]}`))
 	content = appendFrame(content, kindRows, 2, 10, 0, appendRows(nil, rows[10:], 0))
@@ -141,12 +143,13 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(captured.Rows, rows) {
-		t.Errorf("%d rows, not the %d that were written in their order", len(captured.Rows), len(rows))
+		t.Errorf("got %d rows, want the %d that were written, in order", len(captured.Rows), len(rows))
 	}
 	notes := strings.Join(captured.Report.Notes(), "\n")
-	for _, want := range []string{"3 rows were dropped", "10 rows ran back", "5 left out: rows of frames of version 2", "out of order"} {
+	for _, want := range []string{"3 rows were dropped", "10 rows were out of order", "5 left out: rows of frames of version 2",
+		"out of order"} {
 		if !strings.Contains(notes, want) {
-			t.Errorf("notes %q lack %q", notes, want)
+			t.Errorf("got notes %q, want %q in them", notes, want)
 		}
 	}
 }
@@ -155,7 +158,7 @@
 type blockingFile struct {
 	bytes.Buffer
 	release chan struct{}
-	fails   bool // writes fail once they no longer block
+	fails   bool // writes fail after release is closed
 }
 
 func (f *blockingFile) Write(content []byte) (int, error) {
@@ -168,8 +171,9 @@
 	return f.Buffer.Write(content)
 }
 
-// TestNeverBlocks: a file whose writes block does not delay requests. The file itself has the number of rows that this costs.
-func TestNeverBlocks(t *testing.T) {
+// TestWriterDoesNotBlockOnSlowFile checks that a file whose writes block does not delay requests, and that the file itself reports the
+// number of rows that were dropped.
+func TestWriterDoesNotBlockOnSlowFile(t *testing.T) {
 	file := &blockingFile{release: make(chan struct{})}
 	writer, err := NewWriter(file, testHeader, 1, nil)
 	if err != nil {
@@ -181,7 +185,7 @@
 		writer.RequestEnded(director.RequestRecord{Class: 1, Disposition: director.Rejected})
 	}
 	if elapsed := time.Since(start); elapsed > 2*time.Second {
-		t.Errorf("adding %d rows took %v", added, elapsed)
+		t.Errorf("adding %d rows took %v, want at most 2s", added, elapsed)
 	}
 	close(file.release)
 	if err := writer.Close(); err != nil {
@@ -192,15 +196,16 @@
 		t.Fatal(err)
 	}
 	if report := captured.Report; report.Dropped == 0 || report.Rows+report.Dropped != added {
-		t.Errorf("%d rows and %d dropped, want some dropped and %d together", report.Rows, report.Dropped, added)
+		t.Errorf("got %d rows and %d dropped, want some dropped and %d together", report.Rows, report.Dropped, added)
 	}
 	if got := captured.Rows[0].Disposition; got != director.Rejected {
-		t.Errorf("disposition %v, want %v", got, director.Rejected)
+		t.Errorf("got disposition %v, want %v", got, director.Rejected)
 	}
 }
 
-// TestWritesThatFail: Close returns the fault of a file whose writes fail, and the rows count as dropped. Create fails on a folder.
-func TestWritesThatFail(t *testing.T) {
+// TestCloseReportsFailedWrites checks that Close returns the error of a file whose writes fail, and that the rows count as dropped. It also
+// checks that Create fails for the path of a folder.
+func TestCloseReportsFailedWrites(t *testing.T) {
 	file := &blockingFile{release: make(chan struct{}), fails: true}
 	close(file.release)
 	writer, err := NewWriter(file, testHeader, 0, nil)
@@ -209,15 +214,16 @@
 	}
 	writer.Add(Row{})
 	if err := writer.Close(); err == nil || !strings.Contains(err.Error(), "disk full") || writer.Dropped() != 1 {
-		t.Errorf("closed with %v, %d rows dropped, want a full disk and 1", err, writer.Dropped())
+		t.Errorf("got error %v from Close and %d rows dropped, want disk full and 1", err, writer.Dropped())
 	}
 	if _, err := Create(t.TempDir(), testHeader, 0, nil); err == nil {
-		t.Error("Create accepted the path of a folder")
+		t.Error("got no error from Create for the path of a folder")
 	}
 }
 
-// TestMerge: rows are sorted by arrival, which counts from the earlier start, and have the indexes of the merged header.
-func TestMerge(t *testing.T) {
+// TestMergeSortsAndReindexesRows checks that merged rows are sorted by arrival, which counts from the earlier start, and that their indexes
+// refer to the merged header.
+func TestMergeSortsAndReindexesRows(t *testing.T) {
 	first := &Capture{
 		Header: Header{Start: 10, Classes: []string{"page"}, Zones: []string{"west"}},
 		Rows:   []Row{{At: time.Microsecond}},
@@ -228,10 +234,10 @@
 	}
 	merged := Merge(first, second)
 	want := []Row{
-		{At: 0, Class: 0, Zone: 1},                    // that of second
-		{At: 7 * time.Microsecond, Class: 0, Zone: 0}, // that of first
+		{At: 0, Class: 0, Zone: 1},                    // row of second
+		{At: 7 * time.Microsecond, Class: 0, Zone: 0}, // row of first
 	}
 	if !reflect.DeepEqual(merged.Rows, want) || merged.Report.Rows != len(want) {
-		t.Errorf("%d rows reported, rows %+v, want %+v", merged.Report.Rows, merged.Rows, want)
+		t.Errorf("got %d rows reported and rows %+v, want %+v", merged.Report.Rows, merged.Rows, want)
 	}
 }
--- a/internal/capture/fault_test.go
+++ b/internal/capture/fault_test.go
@@ -16,16 +16,16 @@
 	"time"
 )
 
-// unlimited is the free space of a faultyFile that never fills up.
+// unlimited is the value of faultyFile.free for a file that never fills up.
 const unlimited = -1
 
-// faultyFile is a file in memory that fails on demand.
+// faultyFile is a file in memory with injected faults.
 type faultyFile struct {
 	mu          sync.Mutex
 	data        []byte
 	offset      int64
-	free        int           // bytes that can still be written; a longer write writes a part and fails with ENOSPC
-	maxWrite    int           // bytes that one write accepts without an error; 0: all
+	free        int           // number of bytes that can still be written; a longer write writes only these and fails with ENOSPC
+	maxWrite    int           // maximum number of bytes that one write accepts without an error; 0: no limit
 	truncateErr error         // error of Truncate
 	syncErr     error         // error of Sync
 	closeErr    error         // error of Close
@@ -47,7 +47,7 @@
 		if len(content) > f.free {
 			content = content[:f.free]
 			err = syscall.ENOSPC
-			f.noteFailure()
+			f.recordFailure()
 		}
 		f.free -= len(content)
 	}
@@ -56,8 +56,8 @@
 	return len(content), err
 }
 
-// noteFailure closes failed, where that is open.
-func (f *faultyFile) noteFailure() {
+// recordFailure closes failed if it is still open.
+func (f *faultyFile) recordFailure() {
 	select {
 	case <-f.failed:
 	default:
@@ -71,7 +71,7 @@
 	select {
 	case <-f.failed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("no write failed")
+		t.Fatal("no write has failed within 10s")
 	}
 }
 
@@ -109,10 +109,10 @@
 	f.free = bytes
 }
 
-// streamOnly hides all methods of a file but Write, so that it cannot be truncated.
+// streamOnly hides all methods of a file except Write, so that the file cannot be truncated.
 type streamOnly struct{ io.Writer }
 
-// startedFramer returns a framer for a file that has its header, without the goroutine, the ticks and the retries of a Writer.
+// startedFramer writes the header to a file and returns a framer for it, without the goroutine, the ticks and the retries of a Writer.
 func startedFramer(t *testing.T, destination io.Writer) *framer {
 	t.Helper()
 	out := newFileOutput(destination)
@@ -122,9 +122,9 @@
 	return &framer{writer: &Writer{rows: make(chan Row, queueRows)}, file: out, number: 1}
 }
 
-// TestRowsThatWaitAtCloseShareAFrame: the rows that the framer has collected when the writer is closed and those that are still in the
-// queue make one frame, however many of each there are. The bytes of a short capture do not depend on timing.
-func TestRowsThatWaitAtCloseShareAFrame(t *testing.T) {
+// TestCloseWritesWaitingRowsInOneFrame checks that close writes the rows that the framer has collected and those that are still in the
+// queue as one frame, however they are divided. So the bytes of a short capture do not depend on timing.
+func TestCloseWritesWaitingRowsInOneFrame(t *testing.T) {
 	rows := someRows(8)
 	for collected := range len(rows) + 1 {
 		var file bytes.Buffer
@@ -144,35 +144,36 @@
 		}
 		const wantFrames = 3 // header, rows, end
 		if captured.Report.Frames != wantFrames || !reflect.DeepEqual(captured.Rows, rows) {
-			t.Errorf("%d rows collected: %d frames, %d rows, want %d and %d", collected, captured.Report.Frames, len(captured.Rows), wantFrames, len(rows))
+			t.Errorf("%d rows collected: got %d frames and %d rows, want %d and %d", collected, captured.Report.Frames, len(captured.Rows),
+				wantFrames, len(rows))
 		}
 	}
 }
 
-// truncateFault is how long the truncation of a file fails after a frame was torn.
+// truncateFault says how long truncation of a file fails after a frame has been torn.
 type truncateFault int
 
 const (
 	noTruncateFault truncateFault = iota
 	whileDiskIsFull
-	untilNextFrame // the disk has space again, and one frame more is written
+	untilNextFrame // until the disk has space again and one more frame has been written
 )
 
-// tornFrameCase is a kind of file in which a frame is torn.
+// tornFrameCase describes a kind of file in which a frame is torn.
 type tornFrameCase struct {
 	name     string
 	stream   bool // the file cannot be truncated at all
 	truncate truncateFault
-	clean    bool // the torn part is cut off in the end, so that the file gives no notes
+	clean    bool // the torn part is cut off eventually, so that the file causes no notes
 }
 
-// TestGoesOnAfterTornFrame: a frame may be torn at any byte. Writing resumes once the disk works, whether the torn part can be cut off,
-// cannot be cut off for a while, or the file cannot be truncated at all. No row is lost or duplicated.
-func TestGoesOnAfterTornFrame(t *testing.T) {
+// TestFramerResumesAfterTornFrame tears a frame at each byte. Writing resumes when the disk works again, whether the torn part can be cut
+// off immediately, only later, or never because the file cannot be truncated. No row may be lost or duplicated.
+func TestFramerResumesAfterTornFrame(t *testing.T) {
 	cases := []tornFrameCase{
 		{name: "file", clean: true},
-		{name: "file that is cut late", truncate: whileDiskIsFull, clean: true},
-		{name: "file that cannot be cut for a while", truncate: untilNextFrame},
+		{name: "file that is truncated late", truncate: whileDiskIsFull, clean: true},
+		{name: "file that cannot be truncated for a while", truncate: untilNextFrame},
 		{name: "stream", stream: true},
 	}
 	rows := someRows(30)
@@ -186,7 +187,8 @@
 	}
 }
 
-// run writes three frames of ten rows each. The second is torn, since only a number of bytes is free, and written again afterwards.
+// run writes three frames of ten rows each. The second frame is torn, because only the given number of bytes is free, and written again
+// afterwards.
 func (c *tornFrameCase) run(t *testing.T, rows []Row, free int) {
 	t.Helper()
 	file := newFaultyFile()
@@ -204,14 +206,14 @@
 	}
 	framer.rows = append(framer.rows, rows[10:20]...)
 	if framer.flush() {
-		t.Fatalf("%d bytes free: the frame was accepted", free)
+		t.Fatalf("%d bytes free: the whole frame was written, want it torn", free)
 	}
 	if captured, err := Parse(file.data); err != nil || !reflect.DeepEqual(captured.Rows, rows[:10]) {
-		t.Fatalf("torn after %d bytes: the rows before the torn frame cannot be read: %v", free, err)
+		t.Fatalf("torn after %d bytes: got other rows than those before the torn frame, or error %v", free, err)
 	}
 	canBeCut := !c.stream && c.truncate == noTruncateFault
 	if after := int64(len(file.data)) - framer.file.completeEnd; canBeCut && after != 0 {
-		t.Fatalf("torn after %d bytes: %d bytes follow the last complete frame", free, after)
+		t.Fatalf("torn after %d bytes: got %d bytes after the last complete frame, want none", free, after)
 	}
 
 	file.setFree(unlimited)
@@ -228,7 +230,7 @@
 	c.check(t, file.data, rows, free)
 }
 
-// check checks that the file has all rows, and that reading it reports none as excluded or dropped.
+// check checks that the file has all rows, and that none is reported as excluded or dropped.
 func (c *tornFrameCase) check(t *testing.T, content []byte, rows []Row, free int) {
 	t.Helper()
 	captured, err := Parse(content)
@@ -237,18 +239,19 @@
 	}
 	report := captured.Report
 	if !reflect.DeepEqual(captured.Rows, rows) || report.Dropped != 0 {
-		t.Fatalf("torn after %d bytes: %d rows, notes %q", free, len(captured.Rows), report.Notes())
+		t.Fatalf("torn after %d bytes: got %d rows and notes %q, want all rows and none dropped", free, len(captured.Rows), report.Notes())
 	}
 	if excluded := report.Excluded[reasonDamagedRows]; excluded != 0 {
-		t.Fatalf("torn after %d bytes: %d rows are reported as excluded, and none is missing", free, excluded)
+		t.Fatalf("torn after %d bytes: got %d rows reported as excluded, want none", free, excluded)
 	}
 	if notes := report.Notes(); c.clean && len(notes) > 0 {
-		t.Fatalf("torn after %d bytes: notes %q on a complete file", free, notes)
+		t.Fatalf("torn after %d bytes: got notes %q on a complete file, want none", free, notes)
 	}
 }
 
-// TestShortWrites: a write that accepts only a part without an error, which Linux allows, is continued.
-func TestShortWrites(t *testing.T) {
+// TestWriterContinuesShortWrites checks that a write that accepts only a part of the bytes without an error, which Linux allows, is
+// continued.
+func TestWriterContinuesShortWrites(t *testing.T) {
 	file := newFaultyFile()
 	file.maxWrite = 7
 	writer, err := NewWriter(file, testHeader, 0, nil)
@@ -268,7 +271,7 @@
 	}
 }
 
-// checkCompleteFile checks that a file has exactly these rows, and that reading it gives no notes.
+// checkCompleteFile checks that a file has exactly the given rows, and that parsing it causes no notes.
 func checkCompleteFile(t *testing.T, content []byte, rows []Row) {
 	t.Helper()
 	captured, err := Parse(content)
@@ -276,13 +279,13 @@
 		t.Fatal(err)
 	}
 	if notes := captured.Report.Notes(); !reflect.DeepEqual(captured.Rows, rows) || len(notes) > 0 {
-		t.Errorf("%d rows, notes %q, want the %d rows that were written and no notes", len(captured.Rows), notes, len(rows))
+		t.Errorf("got %d rows and notes %q, want the %d rows that were written and no notes", len(captured.Rows), notes, len(rows))
 	}
 }
 
-// TestDropsAreCountedOverAFault: while the disk is full, rows wait in the bounded queue, and those that do not fit are dropped. Once the
-// disk has space again, the file and Close report how many.
-func TestDropsAreCountedOverAFault(t *testing.T) {
+// TestWriterCountsDropsWhileDiskIsFull checks that rows wait in the bounded queue while the disk is full, and that those that do not fit
+// are dropped. When the disk has space again, both the file and Close report the number of dropped rows.
+func TestWriterCountsDropsWhileDiskIsFull(t *testing.T) {
 	file := newFaultyFile()
 	writer, err := NewWriter(file, testHeader, 0, nil)
 	if err != nil {
@@ -299,26 +302,27 @@
 		writer.Add(row)
 	}
 	if buffered := added - writer.Dropped(); buffered > maxBuffered {
-		t.Errorf("%d rows are buffered, want %d at most", buffered, maxBuffered)
+		t.Errorf("got %d rows buffered, want at most %d", buffered, maxBuffered)
 	}
 	file.setFree(unlimited)
 	err = writer.Close()
 	var loss *LossError
 	if !errors.As(err, &loss) || !errors.Is(err, syscall.ENOSPC) || loss.EndMissing || loss.Rows != writer.Dropped() || loss.Rows == 0 {
-		t.Errorf("closed with %v, want a *LossError of the %d dropped rows, with the end written", err, writer.Dropped())
+		t.Errorf("got error %v from Close, want a *LossError with %d dropped rows and the end written", err, writer.Dropped())
 	}
 	captured, err := Parse(file.data)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if report := captured.Report; report.Dropped != writer.Dropped() || len(captured.Rows)+report.Dropped != added || len(report.Excluded) > 0 {
-		t.Errorf("%d rows, %d dropped, notes %q, want %d dropped and %d together", len(captured.Rows), report.Dropped, report.Notes(),
+		t.Errorf("got %d rows, %d dropped and notes %q, want %d dropped and %d together", len(captured.Rows), report.Dropped,
+			report.Notes(),
 			writer.Dropped(), added)
 	}
 }
 
-// TestPassingFaultIsNoError: a fault that passes before the next tick costs nothing, and Close returns no error.
-func TestPassingFaultIsNoError(t *testing.T) {
+// TestCloseAfterTransientFault checks that Close returns no error after a fault that ends before the next tick, since no rows are lost.
+func TestCloseAfterTransientFault(t *testing.T) {
 	file := newFaultyFile()
 	writer, err := NewWriter(file, testHeader, 0, nil)
 	if err != nil {
@@ -332,13 +336,13 @@
 	file.waitFailed(t)
 	file.setFree(unlimited)
 	if err := writer.Close(); err != nil || writer.Dropped() != 0 {
-		t.Errorf("closed with %v, %d dropped, want no error and none", err, writer.Dropped())
+		t.Errorf("got error %v from Close and %d rows dropped, want no error and none", err, writer.Dropped())
 	}
 	checkCompleteFile(t, file.data, rows)
 }
 
-// TestCloseReportsAFullDisk: Close returns a *LossError with the number of rows lost where the disk stays full.
-func TestCloseReportsAFullDisk(t *testing.T) {
+// TestCloseReportsFullDisk checks that Close returns a *LossError with the number of lost rows if the disk stays full.
+func TestCloseReportsFullDisk(t *testing.T) {
 	file := newFaultyFile()
 	writer, err := NewWriter(file, testHeader, 0, nil)
 	if err != nil {
@@ -351,14 +355,14 @@
 	var loss *LossError
 	err = writer.Close()
 	if !errors.As(err, &loss) || !errors.Is(err, syscall.ENOSPC) || loss.Rows != 20 || !loss.EndMissing {
-		t.Fatalf("closed with %v, want a *LossError of 20 rows and the end", err)
+		t.Fatalf("got error %v from Close, want a *LossError with 20 rows and a missing end", err)
 	}
 	if !strings.Contains(err.Error(), "20 rows") {
-		t.Errorf("%q does not say how many rows were lost", err)
+		t.Errorf("got error %q, want the number of lost rows in it", err)
 	}
 }
 
-// TestCloseReportsFailedSyncAndClose: Close returns the fault where the sync or the close of the file fails, on one line.
+// TestCloseReportsFailedSyncAndClose checks that Close returns the error on one line if the sync or the close of the file fails.
 func TestCloseReportsFailedSyncAndClose(t *testing.T) {
 	cases := []struct {
 		name string
@@ -376,17 +380,17 @@
 			}
 			err = writer.Close()
 			if !errors.Is(err, syscall.EIO) {
-				t.Fatalf("closed with %v, want EIO", err)
+				t.Fatalf("got error %v from Close, want EIO", err)
 			}
 			if text := err.Error(); !strings.Contains(text, "end of the file may be missing") || strings.Contains(text, "\n") {
-				t.Errorf("error %q", text)
+				t.Errorf("got error %q, want one line about the end of the file", text)
 			}
 		})
 	}
 }
 
-// TestCloseOfAFileThatHangs: Close waits a bounded time for a file whose writes block, and counts the queued rows as lost.
-func TestCloseOfAFileThatHangs(t *testing.T) {
+// TestCloseTimesOutOnBlockedWrite checks that Close waits a bounded time for a file whose writes block, and counts the queued rows as lost.
+func TestCloseTimesOutOnBlockedWrite(t *testing.T) {
 	t.Parallel()
 	file := &blockingFile{release: make(chan struct{})}
 	defer close(file.release)
@@ -401,35 +405,36 @@
 	start := time.Now()
 	err = writer.Close()
 	if elapsed := time.Since(start); elapsed > 2*closeTimeout {
-		t.Errorf("Close took %v, want %v at most", elapsed, 2*closeTimeout)
+		t.Errorf("Close took %v, want at most %v", elapsed, 2*closeTimeout)
 	}
 	lost := 0
 	if err != nil {
-		_, lostText, _ := strings.Cut(err.Error(), "its end is missing; ")
+		_, lostText, _ := strings.Cut(err.Error(), "the end of the file is missing; ")
 		fmt.Sscanf(lostText, "at least %d rows were lost", &lost)
 	}
-	// All but the rows of the frame that hangs are known to be lost. A tick may have made that frame smaller than a full one.
+	// All rows except those of the frame whose write blocks are known to be lost. A tick may have written that frame before it was full.
 	if lost < added-frameRows || lost >= added {
-		t.Errorf("%d rows lost of %d: %v", lost, added, err)
+		t.Errorf("got %d of %d rows lost, want all but those of one frame: %v", lost, added, err)
 	}
 }
 
-// TestKilledAtAnyByte: a file whose writer was killed at any byte is read up to its last complete frame, also where a torn frame is
-// between others.
-func TestKilledAtAnyByte(t *testing.T) {
+// TestParseFileOfKilledWriter checks that a file whose writer was killed at any byte is read up to its last complete frame, even if it
+// contains a torn frame between others.
+func TestParseFileOfKilledWriter(t *testing.T) {
 	for _, torn := range []bool{false, true} {
-		t.Run(fmt.Sprintf("torn frame %v", torn), func(t *testing.T) { testKilledAtAnyByte(t, torn) })
+		t.Run(fmt.Sprintf("torn frame %v", torn), func(t *testing.T) { testParseFileOfKilledWriter(t, torn) })
 	}
 }
 
-// testKilledAtAnyByte writes frames, the third one torn at first where torn is set, and reads the file cut at each byte.
-func testKilledAtAnyByte(t *testing.T, torn bool) {
+// testParseFileOfKilledWriter writes frames and parses the file cut at each byte. If torn is set, the third frame is torn once, then
+// written again.
+func testParseFileOfKilledWriter(t *testing.T, torn bool) {
 	const rowsOfFrame, tornFrameStart = 10, 20
 	file := newFaultyFile()
 	framer := startedFramer(t, streamOnly{file})
 	headerEnd := len(file.data)
 	rows := someRows(40)
-	rowsByEnd := map[int]int{headerEnd: 0} // rows in all complete frames, by the offset at which the last of these ends
+	rowsByEnd := map[int]int{headerEnd: 0} // number of rows in all complete frames, by the offset at which the last of these frames ends
 	for start := 0; start < len(rows); start += rowsOfFrame {
 		framer.rows = append(framer.rows, rows[start:start+rowsOfFrame]...)
 		if torn && start == tornFrameStart {
@@ -459,23 +464,23 @@
 			t.Fatalf("cut at %d: %v", cut, err)
 		}
 		if !slices.Equal(captured.Rows, rows[:want]) {
-			t.Fatalf("cut at %d: %d rows, want the %d of complete frames", cut, len(captured.Rows), want)
+			t.Fatalf("cut at %d: got %d rows, want the %d rows of complete frames", cut, len(captured.Rows), want)
 		}
 	}
 }
 
-// faultyFolder is the system's file system with files of a limited size, and with steps that can be made to fail.
+// faultyFolder is the file system of the operating system, with files of a limited size and with injected errors.
 type faultyFolder struct {
 	systemFolder
-	free      int   // bytes that each file accepts
+	free      int   // number of bytes that each file accepts
 	syncErr   error // error of Sync
 	removeErr error // error of Remove
 }
 
-// limitedFile is a file of the system that accepts a limited number of bytes.
+// limitedFile is a file of the operating system that accepts a limited number of bytes.
 type limitedFile struct {
 	*os.File
-	free int // bytes that it still accepts
+	free int // number of bytes that it still accepts
 }
 
 func (f *limitedFile) Write(content []byte) (int, error) {
@@ -505,21 +510,21 @@
 	return f.systemFolder.Remove(path)
 }
 
-// TestCreateOverABadDisk: where a capture cannot be started, the error says why, and no file stays that would make the next attempt
-// fail.
-func TestCreateOverABadDisk(t *testing.T) {
+// TestCreateCleansUpAfterFault checks that, if a capture cannot be started, the error says why, and no file is left that would make the
+// next attempt fail.
+func TestCreateCleansUpAfterFault(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.capture")
 	for free := range 40 {
 		if _, err := createIn(faultyFolder{free: free}, path, testHeader, 0, nil); !errors.Is(err, syscall.ENOSPC) {
-			t.Fatalf("%d bytes free: error %v, want ENOSPC", free, err)
+			t.Fatalf("%d bytes free: got error %v, want ENOSPC", free, err)
 		}
 		if _, err := os.Lstat(path); !errors.Is(err, os.ErrNotExist) {
-			t.Fatalf("%d bytes free: a file remains, %v", free, err)
+			t.Fatalf("%d bytes free: got %v from Lstat, want no file", free, err)
 		}
 	}
 	_, err := createIn(faultyFolder{free: 1 << 20, syncErr: syscall.EIO}, path, testHeader, 0, nil)
 	if !errors.Is(err, syscall.EIO) || !strings.Contains(err.Error(), "sync of the folder of "+path) {
-		t.Errorf("a folder that cannot be synced: %v", err)
+		t.Errorf("folder that cannot be synced: got error %v, want EIO and the path", err)
 	}
 	writer, err := Create(path, testHeader, 0, nil)
 	if err != nil {
@@ -530,8 +535,8 @@
 	}
 }
 
-// TestCreateKeepsAnExistingFile: Create fails where the file exists, and does not change it.
-func TestCreateKeepsAnExistingFile(t *testing.T) {
+// TestCreateKeepsExistingFile checks that Create fails if the file exists, and does not change the file.
+func TestCreateKeepsExistingFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.capture")
 	writer, err := Create(path, testHeader, 0, nil)
 	if err != nil {
@@ -542,33 +547,33 @@
 	}
 	before, _ := os.ReadFile(path)
 	if _, err := Create(path, testHeader, 0, nil); !errors.Is(err, os.ErrExist) {
-		t.Errorf("error %v, want os.ErrExist", err)
+		t.Errorf("got error %v, want os.ErrExist", err)
 	}
 	if after, _ := os.ReadFile(path); len(after) == 0 || string(after) != string(before) {
-		t.Errorf("the file has %d bytes, and had %d, or others", len(after), len(before))
+		t.Errorf("got a file of %d bytes, want the %d bytes from before unchanged", len(after), len(before))
 	}
 }
 
-// TestCreateNamesAFileThatStays: where the file of a failed attempt cannot be removed, the error says so, on one line.
-func TestCreateNamesAFileThatStays(t *testing.T) {
+// TestCreateReportsFileItCannotRemove checks that the error says so on one line if the file of a failed attempt cannot be removed.
+func TestCreateReportsFileItCannotRemove(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.capture")
 	_, err := createIn(faultyFolder{removeErr: syscall.EIO}, path, testHeader, 0, nil)
 	if !errors.Is(err, syscall.ENOSPC) || !errors.Is(err, syscall.EIO) {
-		t.Fatalf("error %v, want ENOSPC and EIO", err)
+		t.Fatalf("got error %v, want ENOSPC and EIO", err)
 	}
-	if text := err.Error(); !strings.Contains(text, "stays") || strings.Contains(text, "\n") {
-		t.Errorf("error %q", text)
+	if text := err.Error(); !strings.Contains(text, "is left in place") || strings.Contains(text, "\n") {
+		t.Errorf("got error %q, want one line about the file that is left", text)
 	}
 }
 
-// TestFullDevice: NewWriter fails on the system's own full device, without a fake.
-func TestFullDevice(t *testing.T) {
+// TestNewWriterOnFullDevice checks that NewWriter fails on /dev/full, a real device without space.
+func TestNewWriterOnFullDevice(t *testing.T) {
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	if err != nil {
 		t.Skip(err)
 	}
 	defer full.Close()
 	if _, err := NewWriter(full, testHeader, 0, nil); !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("error %v, want ENOSPC", err)
+		t.Errorf("got error %v, want ENOSPC", err)
 	}
 }
--- a/internal/capture/frame.go
+++ b/internal/capture/frame.go
@@ -9,10 +9,10 @@
 
 const (
 	magic   = "iCpt" // the first bytes of each frame
-	version = 1      // version of the format
+	version = 1      // version of the file format
 )
 
-// Offsets of the fields of a frame's head, in bytes.
+// Offsets of the fields in a frame's head, in bytes.
 const (
 	versionAt = 4
 	kindAt    = 5
@@ -24,8 +24,8 @@
 	headSize  = 30
 )
 
-// Bounds of one frame. They guard against large allocations for a damaged file: bytes that look like a head beyond these bounds are not
-// taken for one.
+// Bounds on one frame. They guard against large allocations for a damaged file: bytes that look like a head with values above these bounds
+// are not treated as a head.
 const (
 	maxPayloadBytes = 16 << 20 // of the compressed payload
 	maxFrameRows    = 1 << 20
@@ -43,8 +43,8 @@
 	version byte
 	kind    byte
 	number  uint32 // index of the frame in the file, from 0
-	rows    int    // rows in the payload
-	dropped int    // rows lost since the previous frame
+	rows    int    // number of rows in the payload
+	dropped int    // number of rows lost since the previous frame
 	size    int    // length of the payload in bytes
 	sum     uint64 // checksum
 }
@@ -62,7 +62,7 @@
 	return append(buffer, payload...)
 }
 
-// decodeHead reads the head at the start of content, which must have at least headSize bytes.
+// decodeHead decodes the head at the start of content, which must have at least headSize bytes.
 func decodeHead(content []byte) frameHead {
 	return frameHead{
 		version: content[versionAt],
@@ -80,7 +80,7 @@
 	return h.size <= maxPayloadBytes && h.rows <= maxFrameRows
 }
 
-// checksum returns the XXH64 checksum of the fields of a head before the sum and of the payload.
+// checksum returns the XXH64 checksum of the payload and of those fields of a head that precede the checksum.
 func checksum(head, payload []byte) uint64 {
 	digest := xxhash.New()
 	digest.Write(head[:sumAt])
@@ -88,7 +88,7 @@
 	return digest.Sum64()
 }
 
-// nextMagic returns the offset of the first magic at or after an offset, or the length of content where there is none.
+// nextMagic returns the offset of the first magic at or after an offset, or the length of content if there is none.
 func nextMagic(content []byte, offset int) int {
 	next := bytes.Index(content[offset:], []byte(magic))
 	if next < 0 {
--- a/internal/capture/framer.go
+++ b/internal/capture/framer.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A frame is written when it has frameRows rows, or frameInterval after the previous one.
+// A frame is written when it has frameRows rows, and otherwise every frameInterval.
 const (
 	frameRows     = 4096
 	frameInterval = time.Second
@@ -13,26 +13,26 @@
 
 // Retries of failed writes while the capture is closed, and the pause before each.
 const (
-	closeRetries       = 10 // for all frames together
+	closeRetries       = 10 // in total, for all frames
 	closeRetryInterval = 100 * time.Millisecond
 )
 
-// framer collects rows into frames and writes the frames in order. It buffers the rows of one frame at most: while a frame is unwritten
-// it receives no rows. They wait in the writer's queue, and those that do not fit are dropped and counted.
+// framer collects rows into frames and writes the frames in order. It buffers at most the rows of one frame: while a frame is unwritten,
+// the framer receives no rows. They wait in the writer's queue, and those that do not fit are dropped and counted.
 type framer struct {
 	writer         *Writer
 	file           *fileOutput
 	rows           []Row         // rows of the next frame
 	unwritten      []byte        // frame that could not be written yet; nil: none
-	unwrittenRows  int           // rows in the unwritten frame
-	unwrittenDrops int64         // dropped rows that the unwritten frame and all before it report
+	unwrittenRows  int           // number of rows in the unwritten frame
+	unwrittenDrops int64         // total number of dropped rows that the frames up to and including the unwritten one report
 	number         uint32        // number of the next frame
-	writtenDrops   int64         // dropped rows that the frames in the file report
+	writtenDrops   int64         // total number of dropped rows that the frames in the file report
 	cpu            time.Duration // processor time that the process had used when the last frame was encoded
-	retries        int           // retries left while closing
+	retries        int           // number of retries left while the capture is closed
 }
 
-// newFramer returns a framer for a file that has its header.
+// newFramer returns a framer for a file to which the header has been written.
 func newFramer(w *Writer, file *fileOutput) *framer {
 	f := &framer{writer: w, file: file, number: 1, retries: closeRetries}
 	if w.cpu != nil {
@@ -41,7 +41,7 @@
 	return f
 }
 
-// add adds a row, and writes the frame where it is full.
+// add adds a row to the next frame, and writes the frame if it is full.
 func (f *framer) add(row Row) {
 	f.rows = append(f.rows, row)
 	if len(f.rows) >= frameRows {
@@ -49,8 +49,7 @@
 	}
 }
 
-// flush writes the unwritten frame or, where there is none, a frame of the collected rows. It reports whether no frame is left
-// unwritten.
+// flush writes the unwritten frame or, if there is none, a frame of the collected rows. It reports whether no frame is left unwritten.
 func (f *framer) flush() bool {
 	if f.unwritten == nil && len(f.rows) > 0 {
 		f.encode(kindRows)
@@ -58,7 +57,7 @@
 	return f.write()
 }
 
-// encode encodes the next frame: of the collected rows, or the one that ends the file, which has no rows.
+// encode encodes the next frame, which contains the collected rows or, for kindEnd, ends the file and has no rows.
 func (f *framer) encode(kind byte) {
 	var payload []byte
 	if kind == kindRows {
@@ -71,7 +70,7 @@
 	f.rows = f.rows[:0]
 }
 
-// cpuSinceLast returns the processor time that the process has used since the previous frame, or 0 where it is not stored.
+// cpuSinceLast returns the processor time that the process has used since the previous frame, or 0 if the time is not stored.
 func (f *framer) cpuSinceLast() time.Duration {
 	if f.writer.cpu == nil {
 		return 0
@@ -95,8 +94,8 @@
 	return true
 }
 
-// close writes the remaining rows and the frame that ends the file, and closes the file. A frame that cannot be written within the
-// retries is discarded, and its rows are lost. The errors are those of Writer.Close.
+// close writes the remaining rows and the frame that ends the file, and closes the file. A frame that cannot be written with the retries
+// left is discarded, and its rows are lost. Writer.Close documents the errors.
 func (f *framer) close() error {
 	f.writeRemaining()
 	f.encode(kindEnd)
@@ -112,7 +111,7 @@
 	return nil
 }
 
-// writeRemaining writes the unwritten frame, the collected rows and those in the writer's queue.
+// writeRemaining writes the unwritten frame, the collected rows and the rows in the writer's queue.
 func (f *framer) writeRemaining() {
 	f.retry(f.write())
 	for len(f.writer.rows) > 0 {
@@ -124,8 +123,8 @@
 	f.retry(f.flush())
 }
 
-// retry retries to write the unwritten frame while retries are left, then discards it. Written is the result of the first attempt. It
-// reports whether the frame was written.
+// retry retries to write the unwritten frame while retries are left, then discards the frame. Written is the result of the first attempt.
+// It reports whether the frame was written.
 func (f *framer) retry(written bool) bool {
 	for ; !written && f.retries > 0; f.retries-- {
 		time.Sleep(closeRetryInterval)
--- a/internal/capture/merge.go
+++ b/internal/capture/merge.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// mergedName is the director in the header of a merged capture.
+// mergedName is the name of the director in the header of a merged capture.
 const mergedName = "several"
 
-// Merge joins the captures of several directors; there must be at least one. Request classes of the same name are the same class, and
-// zones of the same name the same zone. Arrivals count from the earliest start.
+// Merge merges the captures of several directors. There must be at least one capture. Request classes with the same name are merged, and so
+// are zones. Arrivals count from the earliest start of all captures.
 func Merge(captures ...*Capture) *Capture {
 	if len(captures) == 1 {
 		return captures[0]
@@ -25,7 +25,7 @@
 	return merged
 }
 
-// add appends the rows of another capture. It converts their indexes and arrivals to the header of this one.
+// add appends the rows of another capture, with their indexes and arrivals converted to the header of this one.
 func (c *Capture) add(other *Capture) {
 	classes := indexes(&c.Classes, other.Classes)
 	zones := indexes(&c.Zones, other.Zones)
@@ -39,7 +39,7 @@
 	c.Report.add(&other.Report)
 }
 
-// indexes returns the index of each name in a list. It appends the names that the list lacks.
+// indexes returns the index of each name in a list. It appends names that are not in the list yet.
 func indexes(list *[]string, names []string) (found []int16) {
 	for _, name := range names {
 		index := slices.Index(*list, name)
--- a/internal/capture/output.go
+++ b/internal/capture/output.go
@@ -14,9 +14,9 @@
 	Truncate(size int64) error
 }
 
-// fileOutput writes frames to a file that may fail for a while (a full disk, a device fault, short writes). A torn frame, of which only
-// a part was written, is cut off, so that the file ends with a complete frame. Where that fails too, or the file cannot be truncated,
-// the next frame starts after the torn one, and readers resume at its magic.
+// fileOutput writes frames to a file whose writes may fail for a while, for example because of a full disk, a device fault or short writes.
+// A torn frame, of which only a part was written, is cut off, so that the file ends with a complete frame. If that fails too, or the file
+// cannot be truncated, the next frame is written after the torn one, and readers resume at its magic.
 type fileOutput struct {
 	out         io.Writer
 	file        truncatable // the same file as out; nil: it cannot be truncated
@@ -42,47 +42,47 @@
 	return o
 }
 
-// writeFrame writes a frame. It reports whether all of the frame was written.
+// writeFrame writes a frame. It reports whether the whole frame was written.
 func (o *fileOutput) writeFrame(frame []byte) bool {
-	o.cutTorn() // an earlier attempt to cut may have failed
+	o.truncateTorn() // an earlier truncation may have failed
 	written, err := writeAll(o.out, frame)
 	o.position += int64(written)
 	if err != nil {
-		o.noteFault(err)
+		o.recordFault(err)
 	}
 	if written < len(frame) {
-		o.cutTorn()
+		o.truncateTorn()
 		return false
 	}
 	o.completeEnd = o.position
 	return true
 }
 
-// cutTorn truncates the file after the last complete frame, if anything follows it.
-func (o *fileOutput) cutTorn() {
+// truncateTorn truncates the file after its last complete frame if anything follows that.
+func (o *fileOutput) truncateTorn() {
 	if o.file == nil || o.position == o.completeEnd {
 		return
 	}
 	if err := o.file.Truncate(o.completeEnd); err != nil {
-		o.noteFault(err)
+		o.recordFault(err)
 		return
 	}
 	if _, err := o.file.Seek(o.completeEnd, io.SeekStart); err != nil {
-		o.noteFault(err)
+		o.recordFault(err)
 		return
 	}
 	o.position = o.completeEnd
 }
 
-// noteFault stores the first error of the file.
-func (o *fileOutput) noteFault(err error) {
+// recordFault stores the first error of the file.
+func (o *fileOutput) recordFault(err error) {
 	if o.firstFault == nil {
 		o.firstFault = err
 	}
 }
 
-// close syncs and closes the file, if it has these methods. It does not repeat a failed sync: a second sync may succeed although the
-// data of the first is lost.
+// close syncs and closes the file if it has these methods. It does not retry a failed sync, because a second sync may succeed although data
+// from before the first one is lost.
 func (o *fileOutput) close() error {
 	var syncErr, closeErr error
 	if syncer, ok := o.out.(interface{ Sync() error }); ok {
@@ -93,15 +93,15 @@
 	}
 	err := cmp.Or(syncErr, closeErr)
 	if syncErr != nil && closeErr != nil {
-		err = fmt.Errorf("%w; %w", syncErr, closeErr) // errors.Join would spread it over two lines of the log
+		err = fmt.Errorf("%w; %w", syncErr, closeErr) // errors.Join would put the errors on two lines of the log
 	}
 	if err != nil {
-		o.noteFault(err)
+		o.recordFault(err)
 	}
 	return err
 }
 
-// writeAll writes all of content, and continues where a write accepts only a part without an error. It returns the number of bytes
+// writeAll writes all of content. It continues after a write that accepts only a part without an error. It returns the number of bytes
 // written.
 func writeAll(out io.Writer, content []byte) (written int, err error) {
 	for written < len(content) {
@@ -117,7 +117,7 @@
 	return written, nil
 }
 
-// ignoreUnsupported returns the error of a sync, or nil where the error means that a file or folder of this kind cannot be synced.
+// ignoreUnsupported returns the error of a sync, or nil if the error means that a file or folder of this kind cannot be synced.
 func ignoreUnsupported(err error) error {
 	if errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.ENOTSUP) {
 		return nil
--- a/internal/capture/parse.go
+++ b/internal/capture/parse.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// ErrNoHeader is the error for a file without a complete header.
-var ErrNoHeader = errors.New("capture: no header, so this is no capture or its begin is lost")
+// ErrNoHeader is the error for a file that has no complete header.
+var ErrNoHeader = errors.New("capture: no header: the file is not a capture or its start is lost")
 
-// maxReportDelay is by how much the ends of successive rows may run back in time. Rows are not exactly in the order in which requests
-// ended, since several goroutines report them. A row that ended earlier than this before a row above it counts as out of order.
+// maxReportDelay is how much earlier than an earlier row a row may have ended without counting as out of order. Rows are not exactly in the
+// order in which requests ended, because several goroutines report them.
 const maxReportDelay = time.Second
 
-// Parse reads the content of a file. It returns an error only where the header is missing or cannot be read. Anything else that is
+// Parse parses the content of a file. It returns an error only if the header is missing or cannot be decoded. Any other part that is
 // incomplete or damaged is excluded and counted in the report.
 func Parse(content []byte) (*Capture, error) {
 	p := &parser{capture: &Capture{}, rest: content}
@@ -36,7 +36,7 @@
 	return p.capture, nil
 }
 
-// parser reads a file frame by frame.
+// parser parses a file frame by frame.
 type parser struct {
 	capture    *Capture
 	rest       []byte    // the part of the file that is not parsed yet
@@ -49,7 +49,7 @@
 // report returns the report of the capture.
 func (p *parser) report() *Report { return &p.capture.Report }
 
-// parseNext parses the frame at the start of the rest, or skips bytes that are no frame. Each call shortens the rest.
+// parseNext parses the frame at the start of rest, or skips bytes that are not a frame. Each call shortens rest.
 func (p *parser) parseNext() error {
 	if len(p.rest) < headSize || bytes.IndexByte(p.rest, magic[0]) < 0 {
 		p.report().exclude(reasonTornBytes, len(p.rest))
@@ -78,14 +78,14 @@
 	return p.accept(head, payload)
 }
 
-// skip excludes a number of bytes that are no frame.
+// skip excludes a number of bytes that are not a frame.
 func (p *parser) skip(count int) {
 	p.report().exclude(reasonNoFrame, count)
 	p.rest = p.rest[count:]
 }
 
-// skipOverlong skips a frame whose size exceeds the rest. Where other frames follow, it is a damaged frame, otherwise it is the torn
-// tail of the file.
+// skipOverlong skips a frame whose stated size exceeds the rest of the file. If other frames follow, the frame is damaged; otherwise it is
+// the torn tail of the file.
 func (p *parser) skipOverlong(head frameHead) {
 	if next := nextMagic(p.rest, len(magic)); next < len(p.rest) {
 		p.skipDamaged(head, next)
@@ -95,8 +95,8 @@
 	p.rest = nil
 }
 
-// skipDamaged skips a damaged frame, up to the offset of the next one. Where the next one starts within the head, the fields of the head
-// are not reliable, so no rows are counted.
+// skipDamaged skips a damaged frame up to the offset of the next one. If the next frame starts within this one's head, the fields of the
+// head are not reliable, so its rows are not counted.
 func (p *parser) skipDamaged(head frameHead, next int) {
 	if next < headSize {
 		p.skip(next)
@@ -107,7 +107,7 @@
 	p.rest = p.rest[next:]
 }
 
-// accept adds the content of a frame whose checksum is right.
+// accept adds the content of a frame whose checksum is correct.
 func (p *parser) accept(head frameHead, payload []byte) error {
 	report := p.report()
 	if head.version != version {
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// acceptRows adds the rows of a frame, or none where one of them cannot be decoded.
+// acceptRows adds the rows of a frame, or none of them if one cannot be decoded.
 func (p *parser) acceptRows(head frameHead, payload []byte) {
 	rows, cpu, err := decodeRows(p.capture.Rows, payload, head.rows)
 	if err != nil {
@@ -143,21 +143,21 @@
 	}
 	p.capture.Rows = rows
 	report := p.report()
-	report.include(reasonDamagedRows, p.torn.rewritten(head))
+	report.include(reasonDamagedRows, p.torn.takeReported(head))
 	report.CPU += cpu
 	report.Dropped += head.dropped
 }
 
-// tornFrame is the last damaged frame. A writer that fails within a frame and cannot cut the torn part off writes the frame again after
-// it, so several torn parts may precede the complete frame. The rows of the torn parts are reported as excluded; once the complete frame
-// is read, they are not missing after all.
+// tornFrame describes the last damaged frame. If a write fails within a frame and the torn part cannot be cut off, the writer writes the
+// whole frame again after it. So one or more torn parts may precede the complete frame. Their rows are reported as excluded at first; that
+// is undone when the complete frame is read, because its rows are not missing.
 type tornFrame struct {
 	number   uint32 // number of the frame
-	rows     int    // rows of the frame
-	reported int    // rows reported as excluded, of all torn parts together
+	rows     int    // number of rows in the frame
+	reported int    // number of rows reported as excluded, for all torn parts together
 }
 
-// add records a damaged frame whose rows were reported as excluded.
+// add records a damaged frame whose rows have been reported as excluded.
 func (t *tornFrame) add(head frameHead) {
 	if !t.matches(head) {
 		*t = tornFrame{number: head.number, rows: head.rows}
@@ -165,8 +165,8 @@
 	t.reported += head.rows
 }
 
-// rewritten returns how many of the rows of a complete frame were reported as excluded, and forgets them.
-func (t *tornFrame) rewritten(head frameHead) int {
+// takeReported returns the number of rows that were reported as excluded for torn parts of a complete frame, and resets that number.
+func (t *tornFrame) takeReported(head frameHead) int {
 	if !t.matches(head) {
 		return 0
 	}
@@ -175,12 +175,12 @@
 	return reported
 }
 
-// matches reports whether a head has the number and the rows of the torn frame.
+// matches reports whether a head has the same frame number and number of rows as the torn frame.
 func (t *tornFrame) matches(head frameHead) bool {
 	return t.number == head.number && t.rows == head.rows
 }
 
-// excludeUnknown excludes rows with a request class or a zone that the header lacks.
+// excludeUnknown excludes rows whose request class or zone is not in the header.
 func (c *Capture) excludeUnknown() {
 	known := c.Rows[:0]
 	for _, row := range c.Rows {
@@ -196,7 +196,8 @@
 	c.Rows = known
 }
 
-// countOutOfOrder counts the rows that ended more than maxReportDelay before a row above them. Rows are written as requests end.
+// countOutOfOrder counts the rows that ended more than maxReportDelay before an earlier row. Rows are written in the order in which
+// requests end, so these are out of order.
 func (c *Capture) countOutOfOrder() {
 	last := time.Duration(0)
 	for i := range c.Rows {
--- a/internal/capture/report.go
+++ b/internal/capture/report.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Report counts the content of a file and what was excluded from it.
+// Report has the counts of the content of a file and of what was excluded from it.
 type Report struct {
 	Frames     int            `json:"frames"`
 	Rows       int            `json:"rows"`
 	Dropped    int            `json:"dropped"`  // rows that the writer dropped because its queue was full
-	OutOfOrder int            `json:"back"`     // rows that ended well before a row above them; they were sorted
-	Excluded   map[string]int `json:"left_out"` // rows by reason, or frames or bytes where the number of rows is unknown
+	OutOfOrder int            `json:"back"`     // rows that ended more than maxReportDelay before an earlier row; they were sorted
+	Excluded   map[string]int `json:"left_out"` // number by reason: of rows, or of frames or bytes if the number of rows is unknown
 	CPU        time.Duration  `json:"cpu"`      // processor time of the director's process for the rows; 0: unknown
 }
 
-// Reasons for excluding rows, frames or bytes, as they are printed.
+// Reasons for excluding rows, frames or bytes. They are printed in notes and are the keys of Report.Excluded.
 const (
 	reasonTornBytes    = "bytes of a torn tail"
 	reasonNoFrame      = "bytes that are no frame"
@@ -30,12 +30,12 @@
 	reasonUnknownZone  = "rows of a zone that the header lacks"
 )
 
-// reasonVersion returns the reason for excluding rows of a frame of another version of the format.
+// reasonVersion returns the reason for excluding the rows of a frame with another version of the file format.
 func reasonVersion(found byte) string {
 	return fmt.Sprintf("rows of frames of version %d, where %d is known", found, version)
 }
 
-// exclude adds to the count of a reason: rows, frames or bytes.
+// exclude adds a number of rows, frames or bytes to the count of a reason.
 func (r *Report) exclude(reason string, count int) {
 	if r.Excluded == nil {
 		r.Excluded = map[string]int{}
@@ -43,7 +43,7 @@
 	r.Excluded[reason] += count
 }
 
-// include undoes exclude. It removes a reason whose count becomes 0.
+// include undoes exclude for a number of rows. It removes a reason whose count becomes 0.
 func (r *Report) include(reason string, count int) {
 	if count == 0 {
 		return
@@ -65,13 +65,13 @@
 	}
 }
 
-// Notes returns a sentence for each reason for which rows were dropped, sorted or excluded, in a fixed order.
+// Notes returns a sentence for dropped rows, one for sorted rows and one for each reason for exclusions, in a fixed order.
 func (r *Report) Notes() (notes []string) {
 	if r.Dropped > 0 {
-		notes = append(notes, fmt.Sprintf("%d rows were dropped when the capture was written", r.Dropped))
+		notes = append(notes, fmt.Sprintf("%d rows were dropped while the capture was written", r.Dropped))
 	}
 	if r.OutOfOrder > 0 {
-		notes = append(notes, fmt.Sprintf("%d rows ran back in time and were sorted", r.OutOfOrder))
+		notes = append(notes, fmt.Sprintf("%d rows were out of order and were sorted", r.OutOfOrder))
 	}
 	for _, reason := range slices.Sorted(maps.Keys(r.Excluded)) {
 		notes = append(notes, fmt.Sprintf("%d left out: %s", r.Excluded[reason], reason))
--- a/internal/capture/rows.go
+++ b/internal/capture/rows.go
@@ -11,8 +11,8 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// maxRawBytes bounds the length of a frame's rows after decompression. It guards against a payload that decompresses to more than the
-// memory holds.
+// maxRawBytes bounds the length of a frame's rows after decompression. It guards against a payload that decompresses to more than fits
+// into memory.
 const maxRawBytes = 64 << 20
 
 // encoder and decoder compress and decompress the rows of all frames. Their constructors fail only for invalid options, and these
@@ -22,11 +22,11 @@
 	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxRawBytes))
 )
 
-// errRowsCutShort is the error for a payload that ends within a row.
-var errRowsCutShort = errors.New("rows end early")
+// errRowsTruncated is the error for a payload that ends in the middle of a row.
+var errRowsTruncated = errors.New("payload ends within a row")
 
-// appendRows appends compressed rows to a buffer, with the processor time that the process used for them. Times are stored in
-// microseconds, and an arrival as the difference from the previous one.
+// appendRows appends compressed rows to a buffer, together with the processor time that the process used for them. Times are stored in
+// microseconds, and each arrival as the difference from the previous one.
 func appendRows(buffer []byte, rows []Row, cpu time.Duration) []byte {
 	raw := binary.AppendUvarint(nil, uint64(cpu.Microseconds()))
 	last := time.Duration(0)
@@ -39,7 +39,7 @@
 	return encoder.EncodeAll(raw, buffer)
 }
 
-// appendFields appends all fields of a row except its arrival.
+// appendFields appends all fields of a row except the arrival.
 func appendFields(raw []byte, row *Row) []byte {
 	raw = binary.LittleEndian.AppendUint64(raw, row.Object)
 	fields := [...]uint64{
@@ -58,13 +58,13 @@
 	return append(raw, byte(row.Disposition), byte(row.Fill), row.Attempts)
 }
 
-// unsignedMicros returns a duration in microseconds, or 0 where it is negative.
+// unsignedMicros returns a duration in microseconds, or 0 if it is negative.
 func unsignedMicros(duration time.Duration) uint64 {
 	return uint64(max(0, duration.Microseconds()))
 }
 
-// decodeRows appends the rows of one frame to a list and returns the processor time for them. With an error, the list that it returns
-// may have some of the rows.
+// decodeRows appends the rows of one frame to a list and returns the processor time for them. If it returns an error, the returned list may
+// contain some of the rows.
 func decodeRows(list []Row, payload []byte, count int) ([]Row, time.Duration, error) {
 	raw, err := decoder.DecodeAll(payload, nil)
 	if err != nil {
@@ -85,17 +85,17 @@
 	return list, cpu, fields.err
 }
 
-// fieldDecoder decodes fields one after another. After the first error all fields are 0.
+// fieldDecoder decodes one field after another. After the first error all decoded fields are 0.
 type fieldDecoder struct {
 	raw []byte // bytes that are not decoded yet
 	err error  // the first error
 }
 
-// take returns the next bytes and removes them from raw. Where there are fewer, or count is not positive, it stores an error and returns
-// nil.
+// take returns the next count bytes and removes them from raw. If fewer bytes are left, or count is not positive, it stores an error and
+// returns nil.
 func (d *fieldDecoder) take(count int) []byte {
 	if count <= 0 || len(d.raw) < count {
-		d.raw, d.err = nil, errRowsCutShort
+		d.raw, d.err = nil, errRowsTruncated
 		return nil
 	}
 	taken := d.raw[:count]
@@ -126,7 +126,7 @@
 	return time.Duration(d.uvarint()) * time.Microsecond
 }
 
-// row decodes all fields of a row except its arrival.
+// row decodes all fields of a row except the arrival.
 func (d *fieldDecoder) row() (row Row) {
 	if object := d.take(8); object != nil {
 		row.Object = binary.LittleEndian.Uint64(object)
--- a/internal/capture/write.go
+++ b/internal/capture/write.go
@@ -11,60 +11,61 @@
 	"indigochute.example/indigochute/internal/director"
 )
 
-// queueRows is the number of rows that can wait to be written. Further rows are dropped and counted.
+// queueRows is the capacity of the queue of rows to be written. When the queue is full, further rows are dropped and counted.
 const queueRows = 8192
 
-// closeTimeout is how long Close waits where a write to the file blocks.
+// closeTimeout is how long Close waits for a write to the file that blocks.
 const closeTimeout = 5 * time.Second
 
-// Writer writes a capture. RequestEnded and Add never block, however slow the file is. Where the file fails for a while, only the rows
-// that do not fit into the queue are lost; fileOutput documents how writing resumes. NewWriter starts the goroutine that writes. It ends
-// after Close; where a write blocks, once that write returns.
+// Writer writes a capture. RequestEnded and Add never block, however slow the file is. If writes fail for a while, only the rows that do
+// not fit into the queue are lost; fileOutput documents how writing resumes. NewWriter starts the goroutine that writes. The goroutine
+// ends after Close or, if a write blocks, when that write returns.
 type Writer struct {
 	rows    chan Row
 	dropped atomic.Int64
 	stop    chan struct{} // closed by Close
 	once    sync.Once     // closes stop
-	done    chan error    // receives the result of the goroutine, once
+	done    chan error    // receives the result of the goroutine exactly once
 	zone    int16
 	cpu     func() time.Duration // processor time that this process has used so far; nil: not stored
 }
 
-// LossError is the error of Close where a fault of the file cost rows or the end of the file. Two cases are no error: a fault that
-// passed before anything was lost, and rows dropped because of a slow file that never failed. The file itself reports these rows.
+// LossError is the error that Close returns if a failure of the file caused the loss of rows or of the end of the file. Two cases are not
+// an error: a failure that ended before anything was lost, and rows dropped because of a slow file that never failed. The file itself
+// reports the number of these rows.
 type LossError struct {
-	First      error // the first fault of the file
-	Rows       int   // rows lost since the capture started
+	First      error // the first error of the file
+	Rows       int   // number of rows lost since the start of the capture
 	EndMissing bool  // the frame that ends the file could not be written
 }
 
-// Error names the fault and the number of rows lost.
+// Error returns a message with the first error and the number of rows lost.
 func (e *LossError) Error() string {
 	text := fmt.Sprintf("capture: %v; %d rows were lost", e.First, e.Rows)
 	if e.EndMissing {
-		text += ", its end is missing"
+		text += ", the end of the file is missing"
 	}
 	return text
 }
 
-// Unwrap returns the first fault of the file, for errors.Is and errors.As.
+// Unwrap returns the first error of the file, for errors.Is and errors.As.
 func (e *LossError) Unwrap() error { return e.First }
 
-// HangError is the error of Close where a write to the file blocks for longer than Close waits.
+// HangError is the error that Close returns if a write to the file blocks for longer than Close waits.
 type HangError struct {
 	Waited time.Duration
-	Rows   int // rows known to be lost, without those of the frame whose write blocks
+	Rows   int // number of rows known to be lost, without those of the frame whose write blocks
 }
 
-// Error says how long Close waited and how many rows are lost at least.
+// Error returns a message with the time that Close waited and the minimum number of rows lost.
 func (e *HangError) Error() string {
-	return fmt.Sprintf("capture: the file took nothing for %v, its end is missing; at least %d rows were lost", e.Waited, e.Rows)
+	return fmt.Sprintf("capture: a write to the file blocked for %v, the end of the file is missing; at least %d rows were lost", e.Waited,
+		e.Rows)
 }
 
-// NewWriter returns a Writer to out, which writes from the current position of out. Where out can be synced and closed, Close does so.
-// Where out can be truncated, an incomplete frame is cut off. Zone is the index of the director's zone in the header. Cpu returns the
-// processor time that the process has used so far; where it is nil, the time is not stored. NewWriter returns an error where it cannot
-// write the header.
+// NewWriter returns a Writer to out, which writes from the current position of out. If out can be synced and closed, Close does so. If out
+// can be truncated, an incomplete frame is cut off. Zone is the index of the director's zone in the header. Cpu returns the processor time
+// that the process has used so far; if it is nil, the time is not stored. NewWriter returns an error if it cannot write the header.
 func NewWriter(out io.Writer, header Header, zone int, cpu func() time.Duration) (*Writer, error) {
 	frame, err := headerFrame(header)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return w, nil
 }
 
-// headerFrame returns the frame with which a file starts.
+// headerFrame returns the first frame of a file, which contains the header.
 func headerFrame(header Header) ([]byte, error) {
 	payload, err := json.Marshal(header)
 	if err != nil {
@@ -88,12 +89,12 @@
 	return appendFrame(nil, kindHeader, 0, 0, 0, payload), nil
 }
 
-// RequestEnded adds the record of a request. It never blocks.
+// RequestEnded queues a row for a completed request, like Add. It never blocks.
 func (w *Writer) RequestEnded(record director.RequestRecord) {
 	w.Add(NewRow(record, w.zone))
 }
 
-// Add queues a row, or counts it as dropped where the queue is full. It never blocks.
+// Add queues a row, or counts it as dropped if the queue is full. It never blocks.
 func (w *Writer) Add(row Row) {
 	select {
 	case w.rows <- row:
@@ -102,13 +103,13 @@
 	}
 }
 
-// Dropped returns the number of rows lost so far, because the queue was full or their frame was discarded.
+// Dropped returns the number of rows lost so far because the queue was full or because their frame was discarded.
 func (w *Writer) Dropped() int { return int(w.dropped.Load()) }
 
-// Close writes the queued rows and the end of the file, and syncs and closes the file. It returns a *LossError where a fault of the file
-// cost rows or the end, the wrapped fault where only the sync or the close failed, and a *HangError where a write blocks for
-// closeTimeout. It does not report a fault that passed before anything was lost, since the file is complete. Further calls return the
-// same result.
+// Close writes the queued rows and the end of the file, then syncs and closes the file. It returns a *LossError if a failure of the file
+// caused the loss of rows or of the end, the wrapped error if only the sync or the close failed, and a *HangError if a write blocks for
+// closeTimeout. It returns no error for a failure that ended before anything was lost, because the file is complete then. Further calls
+// return the same result.
 func (w *Writer) Close() error {
 	w.once.Do(func() { close(w.stop) })
 	select {
@@ -120,14 +121,14 @@
 	}
 }
 
-// run collects rows into frames until the writer is stopped, then ends the file.
+// run collects rows into frames until the writer is stopped, then writes the end of the file.
 func (w *Writer) run(f *framer) {
 	tick := time.NewTicker(frameInterval)
 	defer tick.Stop()
 	for stopped := false; !stopped; {
 		rows := w.rows
 		if f.unwritten != nil {
-			rows = nil // rows wait in the queue, which is bounded
+			rows = nil // do not receive; rows wait in the bounded queue
 		}
 		select {
 		case row := <-rows:
