--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -8,33 +8,33 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// reply is the reply to one frame: its header and the action records.
+// reply is the reply to one frame. It consists of a header and action records.
 type reply struct {
 	bytes []byte
-	last  *instance // instance of the last action; nil: there is none yet
+	last  *instance // instance of the last action; nil: no action yet
 }
 
-// start starts the reply to the frame with a number, given as bytes. It leaves the length to finish.
+// start starts the reply to the frame whose number has the given bytes. The method finish sets the length.
 func (r *reply) start(number []byte) {
 	r.last = nil
 	r.bytes = append(r.bytes[:0], number...)
 	r.bytes = append(r.bytes, make([]byte, lengthBytes)...)
 }
 
-// finish sets the length and returns the bytes. The next call of start overwrites them.
+// finish sets the length and returns the bytes of the reply. The next call of start overwrites them.
 func (r *reply) finish() []byte {
 	length := len(r.bytes) - numberBytes - lengthBytes
 	binary.LittleEndian.PutUint32(r.bytes[numberBytes:], uint32(length))
 	return r.bytes
 }
 
-// uint8, uint16 and uint32 append a number, little-endian.
+// uint8, uint16 and uint32 append a number in little-endian byte order.
 func (r *reply) uint8(value uint8)   { r.bytes = append(r.bytes, value) }
 func (r *reply) uint16(value uint16) { r.bytes = binary.LittleEndian.AppendUint16(r.bytes, value) }
 func (r *reply) uint32(value uint32) { r.bytes = binary.LittleEndian.AppendUint32(r.bytes, value) }
 
-// microseconds appends a duration in microseconds. It is rounded up, so that no timer is early. A negative one is written as 0, and one
-// over math.MaxInt32 as that.
+// microseconds appends a duration in microseconds. The duration is rounded up, so that no timer fires early, and limited to the range from
+// 0 to math.MaxInt32.
 func (r *reply) microseconds(duration time.Duration) {
 	microseconds := duration / time.Microsecond
 	if duration%time.Microsecond > 0 {
@@ -45,7 +45,7 @@
 	r.uint32(uint32(microseconds))
 }
 
-// action starts an action of an instance. Unless the previous action was of the same instance, it names the instance first.
+// action starts an action of an instance. If the previous action was of another instance, it writes an action that selects this one first.
 func (r *reply) action(acting *instance, code actionCode) {
 	if r.last != acting {
 		r.last = acting
@@ -55,7 +55,7 @@
 	r.uint8(uint8(code))
 }
 
-// StartAttempt writes an action that starts an attempt. This and the following methods implement routing.Executor.
+// StartAttempt writes an action that starts an attempt. StartAttempt and the following methods implement routing.Executor.
 func (i *instance) StartAttempt(requestID uint32, order routing.AttemptOrder) {
 	i.reply.action(i, actionFetchThrough)
 	i.reply.uint32(requestID)
@@ -82,21 +82,21 @@
 	return options
 }
 
-// CancelAttempt writes an action that stops an attempt. The attempts of a request count from 0.
+// CancelAttempt writes an action that stops an attempt. The attempts of a request are numbered from 0.
 func (i *instance) CancelAttempt(requestID uint32, attempt int) {
 	i.reply.action(i, actionStopAttempt)
 	i.reply.uint32(requestID)
 	i.reply.uint8(uint8(attempt))
 }
 
-// Reject writes an action that rejects a request. A retryAfter of 0 states no time.
+// Reject writes an action that rejects a request. A retryAfter of 0 means that the response does not say when to retry.
 func (i *instance) Reject(requestID uint32, retryAfter time.Duration) {
 	i.reply.action(i, actionOverloadReply)
 	i.reply.uint32(requestID)
 	i.reply.microseconds(retryAfter)
 }
 
-// Fail writes an action that fails a request, which may have been executed.
+// Fail writes an action that fails a request. The request may have been executed.
 func (i *instance) Fail(requestID uint32) {
 	i.reply.action(i, actionRespondError)
 	i.reply.uint32(requestID)
@@ -108,7 +108,7 @@
 	i.reply.uint32(endpointID)
 }
 
-// SetTimer writes an action that sets a timer. Once it is due, the simulator sends a wakeup event with the token.
+// SetTimer writes an action that sets a timer. When the timer expires, the simulator sends a wakeup event with the token.
 func (i *instance) SetTimer(wait time.Duration, token uint32) {
 	i.reply.action(i, actionAfter)
 	i.reply.microseconds(wait)
--- a/internal/simadapter/allocs_test.go
+++ b/internal/simadapter/allocs_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestAllocations bounds the allocations of reading batches of records that the decisions ignore.
-func TestAllocations(t *testing.T) {
+// TestServeAllocationsForIgnoredEvents checks that frames with events that are not used for decisions cause no allocations.
+func TestServeAllocationsForIgnoredEvents(t *testing.T) {
 	const batches = 1000
 	var start, session frames
 	start.add(1e6, at(3), create(), announce(endpoint(1, 8, 0, 1), endpoint(1, 2, 1, 0), endpoint(1, 1, 2, 0)))
@@ -27,7 +27,7 @@
 		})
 	}
 	perBatch := (allocations(session.Bytes()) - allocations(start.Bytes())) / batches
-	if perBatch > 0.01 { // not 0, since the buffers grow sometimes
-		t.Errorf("%v allocations for a batch, want none", perBatch)
+	if perBatch > 0.01 { // above 0, because the buffers grow occasionally
+		t.Errorf("got %v allocations per frame, want none", perBatch)
 	}
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -11,25 +11,25 @@
 type instance struct {
 	id       uint16
 	reply    *reply
-	started  uint64 // simulator's clock at its start, in microseconds
+	started  uint64 // time of its start on the simulator's clock, in microseconds
 	director *routing.Director
 }
 
-// elapsed converts a time of the simulator's clock, in microseconds, to the time since the instance's start. It is negative for a time
-// before the start.
+// elapsed converts a time on the simulator's clock, in microseconds, to the time since the start of the instance. The result is negative
+// for a time before the start.
 func (i *instance) elapsed(clock uint64) time.Duration {
 	return time.Duration(int64(clock-i.started)) * time.Microsecond
 }
 
-// batch applies the event records of one frame, in order. Events for an instance that does not exist, for example because it crashed,
+// batch applies the event records of one frame in order. Events for an instance that does not exist, for example because it has crashed,
 // are decoded and dropped.
 type batch struct {
 	decoder
-	clock      uint64 // simulator's clock, in microseconds
+	clock      uint64 // time of the frame on the simulator's clock, in microseconds
 	instances  map[uint16]*instance
 	reply      *reply
-	addressed  bool      // an at record has named an instance
-	instanceID uint16    // id in the last at record
+	addressed  bool      // an at record has selected an instance
+	instanceID uint16    // instance id in the last at record
 	current    *instance // instance with that id; nil: it does not exist
 }
 
@@ -44,17 +44,17 @@
 	return nil
 }
 
-// event decodes one record and passes it to the current instance.
+// event decodes one record and passes the event to the current instance.
 func (b *batch) event() {
 	b.recordStart = b.offset
 	b.part = "code"
 	code := eventCode(b.uint8())
 	if int(code) >= len(eventNames) {
-		b.fail(b.recordStart, nil, "unknown code %d", code)
+		b.fail(b.recordStart, nil, "unknown event code %d", code)
 		return
 	}
 	if !b.addressed && code != eventAt {
-		b.fail(b.recordStart, nil, "record %d before any at", code)
+		b.fail(b.recordStart, nil, "event code %d before the first at record", code)
 		return
 	}
 	b.part = eventNames[code]
@@ -89,17 +89,17 @@
 // deliverable reports whether the record could be decoded and its instance exists.
 func (b *batch) deliverable() bool { return b.err == nil && b.current != nil }
 
-// now returns the frame's time since the start of the current instance.
+// now returns the time of the frame since the start of the current instance.
 func (b *batch) now() time.Duration { return b.current.elapsed(b.clock) }
 
-// selectInstance sets the instance that the next records are for.
+// selectInstance sets the instance for the following records.
 func (b *batch) selectInstance() {
 	b.instanceID = b.uint16()
 	b.addressed = true
 	b.current = b.instances[b.instanceID]
 }
 
-// create starts the instance with a seed and with settings as text. It replaces a running instance with the same id.
+// create starts the selected instance with a seed and with settings in text form. It replaces a running instance with the same id.
 func (b *batch) create() {
 	seed := b.uint64()
 	text := b.byteString()
@@ -118,13 +118,13 @@
 	b.current = started
 }
 
-// crash removes the instance. Its director gets no event.
+// crash removes the current instance without an event to its director.
 func (b *batch) crash() {
 	delete(b.instances, b.instanceID)
 	b.current = nil
 }
 
-// announce passes on an update of the endpoint list.
+// announce passes an update of the endpoint list to the director.
 func (b *batch) announce() {
 	scope := b.uint8()
 	b.skip(4)
@@ -134,14 +134,15 @@
 		endpoints = append(endpoints, b.endpoint())
 	}
 	if scope > maxScope {
-		b.fail(b.recordStart, nil, "announce of unknown scope %d", scope)
+		b.fail(b.recordStart, nil, "announce has unknown scope %d", scope)
 	}
 	if b.deliverable() && scope != scopeIgnored {
 		b.current.director.UpdateEndpoints(b.now(), endpoints, scope != scopeChanges)
 	}
 }
 
-// endpoint decodes one endpoint of an announcement. The protocol numbers the states as package routing does: gone, ready, draining.
+// endpoint decodes one endpoint of an announcement. The protocol uses the same numbers for states as package routing: gone, ready,
+// draining.
 func (b *batch) endpoint() (endpoint routing.Endpoint) {
 	endpoint.State = routing.State(b.uint8())
 	endpoint.Capacity = b.float32()
@@ -151,7 +152,7 @@
 	endpoint.Zone = int(b.uint16())
 	endpoint.Cell = int(b.uint16())
 	if endpoint.State > routing.Draining {
-		b.fail(b.offset, nil, "entry of unknown state %d", endpoint.State)
+		b.fail(b.offset, nil, "endpoint has unknown state %d", endpoint.State)
 	}
 	if b.current != nil && started != 0 {
 		endpoint.StartKnown = true
@@ -160,7 +161,7 @@
 	return endpoint
 }
 
-// incoming passes on a client's request.
+// incoming passes a client's request to the director.
 func (b *batch) incoming() {
 	var request routing.Request
 	request.ID = b.uint32()
@@ -176,15 +177,15 @@
 		return
 	}
 	if request.Class >= b.current.director.ClassCount() {
-		b.fail(b.recordStart, nil, "incoming of unknown class %d", request.Class)
+		b.fail(b.recordStart, nil, "incoming has unknown class %d", request.Class)
 		return
 	}
 	request.Deadline = b.current.elapsed(deadline)
 	b.current.director.HandleRequest(b.now(), request)
 }
 
-// finished passes on the outcome of an attempt. It skips the endpoint, which the number of the attempt determines, and the load report,
-// which no decision uses.
+// finished passes the outcome of an attempt to the director. It skips the endpoint, which the number of the attempt already determines, and
+// the load report, which is not used for decisions.
 func (b *batch) finished() {
 	var outcome routing.Outcome
 	requestID := b.uint32()
@@ -197,14 +198,14 @@
 	outcome.Fill = fillOf(b.uint32())
 	b.skipLoadReport()
 	if outcome.Result == unknownResult {
-		b.fail(b.recordStart, nil, "finished with unknown ending")
+		b.fail(b.recordStart, nil, "finished has an unknown status")
 	}
 	if b.deliverable() {
 		b.current.director.HandleOutcome(b.now(), requestID, outcome)
 	}
 }
 
-// vanished passes on that the client of a request has gone.
+// vanished notifies the director that the client of a request has disconnected.
 func (b *batch) vanished() {
 	requestID := b.uint32()
 	if b.deliverable() {
@@ -212,7 +213,7 @@
 	}
 }
 
-// wakeup passes on that a timer is due.
+// wakeup notifies the director that a timer has expired.
 func (b *batch) wakeup() {
 	token := b.uint32()
 	if b.deliverable() {
@@ -220,7 +221,7 @@
 	}
 }
 
-// probeDone passes on the outcome of a health check.
+// probeDone passes the outcome of a health check to the director.
 func (b *batch) probeDone() {
 	result := resultOf(b.uint16())
 	b.skip(4)
@@ -231,7 +232,7 @@
 	}
 }
 
-// outdated passes on a purge of an object or, where the object is 0, of a group, with its age.
+// outdated passes a purge and its age to the director. The purge is of an object or, if the object is 0, of a group.
 func (b *batch) outdated() {
 	group := b.uint16()
 	age := b.uint32()
@@ -241,13 +242,13 @@
 	}
 }
 
-// skipOpened reads past the start of a streamed response, which no decision uses.
+// skipOpened skips the event for the start of a streamed response, which is not used for decisions.
 func (b *batch) skipOpened() {
 	const openedBytes = 13
 	b.skip(openedBytes)
 }
 
-// skipPeer reads past a message between instances. Instances in the simulator send none.
+// skipPeer skips a message from another instance. Instances in the simulator send no messages.
 func (b *batch) skipPeer() {
 	const peerIDBytes = 2
 	b.skip(peerIDBytes)
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -8,12 +8,12 @@
 
 // A frame of the simulator consists of these fields, all little-endian:
 //
-//	uint32 number of the frame, which its reply repeats
+//	uint32 number of the frame, which the reply repeats
 //	uint32 number of bytes that follow
 //	uint64 clock of the simulator, in microseconds
 //	event records, each an event code and its fields
 //
-// A reply consists of the first two fields, then action records.
+// A reply consists of the first two of these fields, followed by action records.
 const (
 	numberBytes = 4
 	lengthBytes = 4
@@ -21,7 +21,8 @@
 	headerBytes = numberBytes + lengthBytes + clockBytes
 )
 
-// maxFrameBytes bounds the bytes of a frame after its length. It limits the memory that a malformed length can make the adapter allocate.
+// maxFrameBytes bounds the number of bytes that follow the length of a frame. It limits the memory that a malformed length can make the
+// adapter allocate.
 const maxFrameBytes = 1 << 30
 
 // Codes of event records.
@@ -37,13 +38,13 @@
 	eventPeer
 	eventCrashNow
 	eventOutdated
-	eventAt // names the instance of the following records
+	eventAt // selects the instance for the following records
 )
 
 // eventCode is the first byte of an event record.
 type eventCode uint8
 
-// eventNames are the simulator's names of events, for errors.
+// eventNames contains the names that the simulator uses for events. They appear in errors.
 var eventNames = [...]string{
 	eventCreate:    "create",
 	eventAnnounce:  "announce",
@@ -70,7 +71,7 @@
 	actionAfter         actionCode = 4
 	actionSoundOut      actionCode = 5
 	actionFetchThrough  actionCode = 12
-	actionInstance      actionCode = 13 // names the instance of the following actions
+	actionInstance      actionCode = 13 // selects the instance for the following actions
 )
 
 // Bits of the options of a fetch_through action.
@@ -80,21 +81,21 @@
 	optionRevalidate   uint8 = 8
 )
 
-// Scopes of an announcement. The endpoints of an announcement replace the whole endpoint list, except with these two scopes.
+// Scopes of an announcement. The endpoints of an announcement replace the whole endpoint list, except for these two scopes.
 const (
-	scopeChanges uint8 = 2 // the endpoints are those that changed
-	scopeIgnored uint8 = 4 // no decision uses the endpoints
+	scopeChanges uint8 = 2 // the announcement contains only the changed endpoints
+	scopeIgnored uint8 = 4 // the endpoints are not used for decisions
 	maxScope           = scopeIgnored
 )
 
 // endpointBytes is the length of one endpoint in an announcement.
 const endpointBytes = 22
 
-// unknownResult is what resultOf returns for an unknown status. It cannot be confused with a known one, since no status of the protocol
-// means routing.LocalError. A health check with it says nothing about the endpoint; an attempt with it is a malformed record.
+// unknownResult is the value that resultOf returns for an unknown status. It is unambiguous, because no status of the protocol means
+// routing.LocalError. A health check with this result gives no information about the endpoint; an attempt with it is a malformed record.
 const unknownResult = routing.LocalError
 
-// resultOf converts the simulator's status of an attempt or a health check.
+// resultOf converts the simulator's status of an attempt or a health check to a result.
 func resultOf(status uint16) routing.Result {
 	switch status {
 	case 200:
@@ -119,7 +120,7 @@
 	return unknownResult
 }
 
-// fillOf converts the simulator's note to a cache status. Both have the same numbers. An unknown note is routing.FillUnknown.
+// fillOf converts the simulator's cache status, which uses the same numbers as routing.Fill. An unknown status becomes routing.FillUnknown.
 func fillOf(note uint32) routing.Fill {
 	if note > uint32(routing.OriginFailed) {
 		return routing.FillUnknown
@@ -127,7 +128,7 @@
 	return routing.Fill(note)
 }
 
-// fromMicroseconds converts a duration of the protocol.
+// fromMicroseconds converts a duration of the protocol, which is in microseconds.
 func fromMicroseconds(microseconds uint32) time.Duration {
 	return time.Duration(microseconds) * time.Microsecond
 }
--- a/internal/simadapter/server.go
+++ b/internal/simadapter/server.go
@@ -1,6 +1,6 @@
-// Package simadapter is the adapter between the simulator and the routing decisions. It decodes the simulator's events, passes each to
-// the director of its instance, and writes the decisions as actions. It makes no decisions itself. No other package uses the names and
-// numbers of the simulator's protocol.
+// Package simadapter connects the simulator to the routing decisions. It decodes the simulator's events, passes each event to the director
+// of its instance, and encodes the decisions as actions. It makes no decisions itself. No other package uses the names and numbers of the
+// simulator's protocol.
 package simadapter
 
 import (
@@ -14,8 +14,8 @@
 // bufferBytes is the size of the input buffer and of the output buffer.
 const bufferBytes = 1 << 20
 
-// Serve replies to frames until the input ends, and returns nil where it ends between frames. It returns a *MalformedError for a frame
-// that does not follow the protocol, and an error that names the frame where the output fails. Instances exist until it returns.
+// Serve reads frames and writes a reply to each until the input ends. It returns nil if the input ends between frames, a *MalformedError
+// for a frame that violates the protocol, and an error that names the frame if a write fails. Instances exist until Serve returns.
 func Serve(in io.Reader, out io.Writer) error {
 	server := &server{
 		in:        bufio.NewReaderSize(in, bufferBytes),
@@ -36,7 +36,7 @@
 // errInputEnded means that the input ended between frames.
 var errInputEnded = errors.New("the input ended between frames")
 
-// server has the instances of one simulator, and the buffers that all frames share.
+// server holds the instances of one simulator, and the buffers that are reused for all frames.
 type server struct {
 	in        *bufio.Reader
 	out       *bufio.Writer
@@ -46,7 +46,7 @@
 	reply     reply
 }
 
-// serveFrame reads one frame and writes its reply. It returns errInputEnded where no frame follows.
+// serveFrame reads one frame and writes the reply. It returns errInputEnded if there are no more frames.
 func (s *server) serveFrame(frame int) error {
 	if err := s.readFrame(frame); err != nil {
 		return err
@@ -70,18 +70,18 @@
 	return nil
 }
 
-// readFrame reads one frame into header and records. It returns errInputEnded where no frame follows.
+// readFrame reads one frame into header and records. It returns errInputEnded if there are no more frames.
 func (s *server) readFrame(frame int) error {
 	read, err := io.ReadFull(s.in, s.header[:])
 	if errors.Is(err, io.EOF) {
 		return errInputEnded
 	}
 	if err != nil {
-		return &MalformedError{Frame: frame, Offset: read, Problem: "header cut off", Err: err}
+		return &MalformedError{Frame: frame, Offset: read, Problem: "truncated header", Err: err}
 	}
 	length := binary.LittleEndian.Uint32(s.header[numberBytes:])
 	if length < clockBytes || length > maxFrameBytes {
-		return &MalformedError{Frame: frame, Offset: numberBytes, Problem: fmt.Sprintf("impossible length %d", length)}
+		return &MalformedError{Frame: frame, Offset: numberBytes, Problem: fmt.Sprintf("invalid frame length %d", length)}
 	}
 	recordsBytes := int(length) - clockBytes
 	if cap(s.records) < recordsBytes {
@@ -89,7 +89,7 @@
 	}
 	s.records = s.records[:recordsBytes]
 	if read, err := io.ReadFull(s.in, s.records); err != nil {
-		return &MalformedError{Frame: frame, Offset: read, Problem: "records cut off", Err: err}
+		return &MalformedError{Frame: frame, Offset: read, Problem: "truncated records", Err: err}
 	}
 	return nil
 }
