--- a/internal/report/charts.go
+++ b/internal/report/charts.go
@@ -1,6 +1,6 @@
 package report
 
-// The charts of an answer.
+// This file contains the charts of an answer.
 
 import (
 	"fmt"
@@ -16,21 +16,21 @@
 
 // Chart is one chart of an answer.
 type Chart struct {
-	Name    string // can be used as a file name
+	Name    string // usable as a file name
 	Title   string
-	Caption string       // a sentence on what the chart shows
+	Caption string       // sentence that describes what the chart shows
 	PNG     template.URL // the image as a data URL
 }
 
-// Limits, units and sizes of the contents of charts.
+// Limits, units and sizes of chart contents.
 const (
-	maxBars        = 16  // in the utilization chart, one for each limit
-	shareAxisTop   = 101 // percent; above 100, so that a line at 100 does not touch the frame
-	minChartMemory = 1e4 // bytes at which miss-ratio curves begin
+	maxBars        = 16  // maximum number of bars in the utilization chart, which has one for each limit
+	shareAxisTop   = 101 // percent; above 100, so that a line at 100 does not touch the border of the chart
+	minChartMemory = 1e4 // bytes at which miss-ratio curves start
 	megabyte       = 1e6 // bytes
 	percent        = 100 // percent in a share of 1
-	slotMiddle     = 0.5 // position in a slot at which its share is drawn
-	barHeight      = 0.5 // centimeters for each bar
+	slotMiddle     = 0.5 // position in a time slot at which its share is drawn
+	barHeight      = 0.5 // centimeters per bar
 	barChartFrame  = 2   // centimeters above and below the bars
 )
 
@@ -40,12 +40,12 @@
 	barPadding vg.Length = 4 // above and below all bars
 )
 
-// Charts draws all charts of an answer. A chart for which the answer has no data is left out.
+// Charts draws all charts of an answer. It omits charts for which the answer has no data.
 func Charts(in Input) (charts []Chart, err error) {
 	for _, draw := range []func(Input) (*Chart, error){loadChart, utilizationChart, shortfallChart, missChart} {
 		chart, err := draw(in)
 		if err != nil {
-			return nil, fmt.Errorf("draw a chart: %w", err)
+			return nil, fmt.Errorf("draw chart: %w", err)
 		}
 		if chart != nil {
 			charts = append(charts, *chart)
@@ -54,10 +54,10 @@
 	return charts, nil
 }
 
-// loadChart draws the share of the goal over load, and the load at which the goal breaks.
+// loadChart draws the share of requests within their aim against the load, and the load at which the goal breaks.
 func loadChart(in Input) (*Chart, error) {
 	found, goal := in.Answer.FirstBreak, percent*in.Goal.WantedShare()
-	chart := newPlot("times the captured load", "in their aim, %")
+	chart := newPlot("load, as a multiple of the captured load", "requests within aim, %")
 	var runs, isotonic plotter.XYs
 	shares := capacity.IsotonicShares(found.Points)
 	lowest := goal
@@ -82,7 +82,7 @@
 		if err := addLine(chart, red, "breaks", breakLine, dashed); err != nil {
 			return nil, err
 		}
-		caption = fmt.Sprintf("The goal breaks at %.3g times the captured load, %.4g reqs a second.", found.Factor, found.Rate)
+		caption = fmt.Sprintf("The goal breaks at %.3g times the captured load, %.4g reqs/s.", found.Factor, found.Rate)
 	}
 	chart.Y.Max = shareAxisTop
 	chart.Legend.Top = false
@@ -96,7 +96,7 @@
 	return addLine(chart, grey, "goal", plotter.XYs{{X: from, Y: goal}, {X: to, Y: goal}}, dashed)
 }
 
-// utilizationChart draws the utilization of the fullest limits at the break. It returns nil if no limit was used.
+// utilizationChart draws the utilization of the fullest limits at the load where the goal breaks. It returns nil if no limit was used.
 func utilizationChart(in Input) (*Chart, error) {
 	fullest := slices.Clone(in.Answer.FirstBreak.Utilizations)
 	fullest = fullest[:min(maxBars, len(fullest))]
@@ -110,7 +110,7 @@
 		values = append(values, percent*utilization.Used)
 		names = append(names, utilization.Name+" "+utilization.Resource)
 	}
-	chart := newPlot("used, %", "")
+	chart := newPlot("utilization, %", "")
 	bars, err := plotter.NewBarChart(values, barWidth)
 	if err != nil {
 		return nil, err
@@ -126,18 +126,18 @@
 	png, err := render(chart, chartWidth, height)
 	return &Chart{
 		Name:    "fullness",
-		Title:   "Fullness where the goal breaks",
-		Caption: "Cores of caches and links of zones, parents and the origin, the fullest on top.",
+		Title:   "Utilization of limits at the load where the goal breaks",
+		Caption: "Cores of caches, and links of zones, parents and the origin. The fullest limit is at the top.",
 		PNG:     png,
 	}, err
 }
 
-// shortfallChart draws the share over time after each loss. It returns nil if the goal names no loss.
+// shortfallChart draws the share of requests within their aim over time after each loss. It returns nil if the goal names no loss.
 func shortfallChart(in Input) (*Chart, error) {
 	if len(in.Answer.Losses) == 0 {
 		return nil, nil
 	}
-	chart := newPlot("seconds since the loss", "in their aim, %")
+	chart := newPlot("time since the loss, s", "requests within aim, %")
 	end, goal := 0.0, percent*in.Goal.WantedShare()
 	for i, loss := range in.Answer.Losses {
 		var shares plotter.XYs
@@ -162,15 +162,15 @@
 	return &Chart{
 		Name:    "shortfall",
 		Title:   "After a loss",
-		Caption: "Share in their aim by half second, all vhosts, from the moment of the loss on.",
+		Caption: "Share of requests of all vhosts within their aim, for each half second since the loss.",
 		PNG:     png,
 	}, err
 }
 
-// missChart draws the miss-ratio curve of each zone, with a dot at the memory that the zone has. If there are more zones
-// than colors it draws the first ones only. It returns nil if no zone has a curve.
+// missChart draws the miss-ratio curve of each zone, with a dot at the zone's memory. If there are more zones than colors, it draws only
+// the first ones. It returns nil if no zone has a curve.
 func missChart(in Input) (*Chart, error) {
-	chart := newPlot("memory of the zone, MB", "reads missed, %")
+	chart := newPlot("memory of the zone, MB", "missed reads, %")
 	drawn := 0
 	for z, zone := range in.Fleet.Zones {
 		if drawn == len(colors) {
@@ -201,13 +201,13 @@
 	png, err := render(chart, chartWidth, chartHeight)
 	return &Chart{
 		Name:    "misses",
-		Title:   "What memory would miss",
-		Caption: "The dot is the memory that the zone's caches hold different things in.",
+		Title:   "Misses by memory size",
+		Caption: "The dot marks the memory in which the zone's caches hold distinct parts.",
 		PNG:     png,
 	}, err
 }
 
-// missPoints returns the points of a curve from minChartMemory on, in megabytes and percent.
+// missPoints returns the points of a curve from minChartMemory upwards, in megabytes and percent.
 func missPoints(curve *capacity.MissRatioCurve) (points plotter.XYs) {
 	memory, missed := curve.Points()
 	for i := range memory {
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -96,7 +96,7 @@
 	return names
 }
 
-// TestChartsArePNGImages draws all charts. Each is a PNG image of the expected width.
+// TestChartsArePNGImages checks that each chart is a PNG image with the expected width.
 func TestChartsArePNGImages(t *testing.T) {
 	charts, err := Charts(answeredInput(t))
 	if err != nil {
@@ -112,15 +112,14 @@
 		if err != nil {
 			t.Fatalf("%s: %v", chart.Name, err)
 		}
-		if width := image.Bounds().Dx(); width < 1000 || width > 1020 { // 16 cm at 160 dots an inch
-			t.Errorf("%s is %d dots wide, want 1000 to 1020", chart.Name, width)
+		if width := image.Bounds().Dx(); width < 1000 || width > 1020 { // 16 cm at 160 dots per inch
+			t.Errorf("%s: got a width of %d dots, want 1000 to 1020", chart.Name, width)
 		}
 	}
 }
 
-// TestChartsWithoutDataAreLeftOut draws the charts of inputs that lack the data of one of them. It is left out, and the
-// others are drawn.
-func TestChartsWithoutDataAreLeftOut(t *testing.T) {
+// TestChartsOmitsChartsWithoutData draws the charts of inputs that lack the data for one chart. Only that chart is omitted.
+func TestChartsOmitsChartsWithoutData(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		change func(*Input)
@@ -167,16 +166,15 @@
 	return written.String()
 }
 
-// TestPageIsSelfContained writes a page. It loads no other resources, has all charts, and shows names as text, whatever
-// characters they have.
+// TestPageIsSelfContained checks that a page loads no other resources, contains all charts and escapes names.
 func TestPageIsSelfContained(t *testing.T) {
 	text := pageOf(t, answeredInput(t))
 	if count := strings.Count(text, `src="data:image/png`); count != 4 {
-		t.Errorf("the page has %d images, want 4", count)
+		t.Errorf("got a page with %d images, want 4", count)
 	}
 	for _, part := range []string{"http:", "https:", "<script", "<link", "zone <west>", "<b>torn"} {
 		if strings.Contains(text, part) {
-			t.Errorf("the page has %q", part)
+			t.Errorf("got a page with %q, want it without", part)
 		}
 	}
 	for _, part := range []string{"zone &lt;west&gt;", "after the loss of zone east", "99.0%", "The goal holds at 1 times the captured load."} {
@@ -186,8 +184,8 @@
 	}
 }
 
-// TestPageShowsUnmetGoalsAndRestarts writes the page of a goal that is not met. It gives the reason, says how the machines
-// of a restart were selected, and that retries sustain the overload.
+// TestPageShowsUnmetGoalsAndRestarts checks the page for a goal that is not met: it gives the reason, says how the machines of a restart
+// were selected, and says that retries sustain the overload.
 func TestPageShowsUnmetGoalsAndRestarts(t *testing.T) {
 	in := answeredInput(t)
 	in.Answer.Met, in.Answer.Reason = false, "it breaks"
@@ -195,7 +193,8 @@
 	restart.Metastable = true
 	restart.Selection = &capacity.RestartSelection{Caches: 5, Restarted: 2, SetsTried: 10}
 	text := pageOf(t, in)
-	for _, part := range []string{"The goal is not met: it breaks.", "A jam that feeds itself", "Worst of 10 sets of 2 caches of 5."} {
+	for _, part := range []string{"The goal is not met: it breaks.", "Metastable overload: with the clients",
+		"Worst of 10 sets of 2 out of 5 caches."} {
 		if !strings.Contains(text, part) {
 			t.Errorf("the page lacks %q", part)
 		}
@@ -205,13 +204,13 @@
 // errFull is the error of a fullDisk.
 var errFull = errors.New("disk full")
 
-// fullDisk is a writer that always fails.
+// fullDisk is a writer whose writes always fail.
 type fullDisk struct{}
 
 func (fullDisk) Write([]byte) (int, error) { return 0, errFull }
 
-// TestWriteReturnsTheErrorOfTheWriter writes a page to a writer that fails. Write returns its error.
-func TestWriteReturnsTheErrorOfTheWriter(t *testing.T) {
+// TestWriteReturnsWriterError checks that Write returns the error of its writer.
+func TestWriteReturnsWriterError(t *testing.T) {
 	if err := Write(fullDisk{}, answeredInput(t)); !errors.Is(err, errFull) {
 		t.Errorf("got error %v, want %v", err, errFull)
 	}
