--- a/cmd/indigochute/clustermember.go
+++ b/cmd/indigochute/clustermember.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	debug.FreeOSMemory() // reading a file with a thousand periodic jobs takes about 70 MB, which is free again now
+	debug.FreeOSMemory() // reading a file with a thousand periodic jobs takes about 70 MB, which is not needed afterwards
 	member := &clusterMember{path: path, name: name, log: log}
 	if file.Role(name) == clusterconfig.Director {
 		member.clusterNode, err = cluster.Follow(file, name, served, log, cluster.FollowerOptions{})
--- a/cmd/indigochute/hollow.go
+++ b/cmd/indigochute/hollow.go
@@ -24,7 +24,7 @@
 		Use:    "hollow SPEC",
 		Short:  "Run many directors in one process, which only exchange messages and have no clients and no nodes",
 		Hidden: true,
-		Long: "Starts the directors in a JSON file, and writes the address of its query server to standard output as one line of JSON. Exits after\n" +
+		Long: "Starts the directors in a JSON file and a query server, and writes the server's address to standard output as a line of JSON. Exits after\n" +
 			"SIGTERM, once all leases are handed over, or immediately at the end of standard input. SIGHUP reloads the operator files.",
 		Args: exactArgs(1),
 	}
--- a/cmd/indigochute/leases_print.go
+++ b/cmd/indigochute/leases_print.go
@@ -99,7 +99,7 @@
 		follower.Health.Alive)
 	if follower.LeaderlessFor > 0 {
 		fmt.Fprintf(out,
-			"For %v, no majority of control machines has followed a leader as far as it knows: it decides by its own health data only.\n",
+			"For %v it has known of no leader that a majority of control machines follows: it uses only its own health data.\n",
 			follower.LeaderlessFor.Round(time.Second))
 	}
 }
--- a/cmd/indigochute/main.go
+++ b/cmd/indigochute/main.go
@@ -33,7 +33,7 @@
 func newRootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "indigochute",
-		Short:         "Run a director, which decides where objects are served, cached and filled from, and its tools",
+		Short:         "Run a director, which decides where objects are served, cached and filled from, and related tools",
 		SilenceErrors: true,
 		SilenceUsage:  true,
 		Args: func(_ *cobra.Command, args []string) error {
--- a/cmd/indigochute/scaling_run.go
+++ b/cmd/indigochute/scaling_run.go
@@ -35,7 +35,7 @@
 	}
 	tool, err := exec.LookPath("go")
 	if err != nil {
-		return "", fmt.Errorf("a go command is needed to build the benchmarks: %w", err)
+		return "", fmt.Errorf("the benchmarks are built from source, which needs a go command: %w", err)
 	}
 	var stdout bytes.Buffer
 	process := exec.CommandContext(ctx, tool, "test", "-run", "^$", "-bench", b.pattern, "-benchtime", b.benchtime,
