--- a/cmd/indigochute/leases_print.go
+++ b/cmd/indigochute/leases_print.go
@@ -71,10 +71,10 @@
 			instance.Health.Alive,
 			instance.Bus.Subscribers.Connected,
 		})
-		if len(instance.Lists) > 0 {
+		if len(instance.DifferingLists) > 0 {
 			fmt.Fprintf(out, "%s and %s have different lists of control machines, so they reject each other's messages about duties.\n",
 				instance.Name,
-				strings.Join(instance.Lists, ", "))
+				strings.Join(instance.DifferingLists, ", "))
 		}
 	}
 	for _, name := range status.Unreachable {
