--- a/internal/testing/testcluster/jobs_test.go
+++ b/internal/testing/testcluster/jobs_test.go
@@ -101,7 +101,7 @@
 		}
 	}
 	out, err := exec.Command(program, "duties", "status", "--at", c.Processes[2].PeerAddress).CombinedOutput()
-	if err != nil || !strings.Contains(string(out), "There is no keeper") || strings.Count(string(out), "does not answer") != 2 {
+	if err != nil || !strings.Contains(string(out), "There is no leader (keeper)") || strings.Count(string(out), "no response") != 2 {
 		t.Errorf("duties status: %v, want no leader and two directors that do not answer:\n%s", err, out)
 	}
 	c.Processes[0].Start()
--- a/internal/testing/testcluster/losses_test.go
+++ b/internal/testing/testcluster/losses_test.go
@@ -151,7 +151,7 @@
 	c.Processes[0].EditClusterConfig(func(old string) string { return strings.Replace(old, "lease: 1200ms", "leese: 1200ms", 1) })
 	c.await(t, "the fault is logged", maxTakeover, func() bool {
 		log := c.Processes[0].Log()
-		return strings.Contains(log, "leese") && strings.Contains(log, "what was in force stays")
+		return strings.Contains(log, "leese") && strings.Contains(log, "the previous configuration stays in force")
 	})
 }
 
