--- a/internal/topology/check.go
+++ b/internal/topology/check.go
@@ -1,6 +1,6 @@
 package topology
 
-// Checks of a description across keys: duplicate and unknown names, zones without caches, too many caches.
+// Checks of a description that involve several keys: duplicate and unknown names, zones without caches, too many caches.
 
 import (
 	"fmt"
@@ -22,7 +22,7 @@
 	t.checkDirectors(report)
 }
 
-// checkNames reports names that an earlier item of the same list has.
+// checkNames reports each item of a list that has the same name as an earlier item.
 func checkNames[T any](report ReportFault, list string, items []T, nameOf func(T) string) {
 	var names []string
 	for i, item := range items {
@@ -53,7 +53,7 @@
 	}
 	for i, zone := range t.Zones {
 		if zone.Directors > 0 && countByZone[zone.Name] == 0 {
-			report(itemPath("zones", i), "zone "+zone.Name+" with directors and without caches", "caches in kinds, or directors: 0")
+			report(itemPath("zones", i), "zone "+zone.Name+" with directors but without caches", "caches in kinds, or directors: 0")
 		}
 	}
 }
@@ -72,7 +72,7 @@
 // both.
 func (t *Topology) checkSlowStart(report ReportFault) {
 	if window := t.ParentSlowStart.Window; window != 0 && window != t.SlowStart.Window {
-		report("parentCold.window", "«"+window.String()+"»", "cold.window, as directors are told one for both")
+		report("parentCold.window", "«"+window.String()+"»", "the value of cold.window, because directors have one window for caches and parents")
 	}
 }
 
@@ -83,6 +83,6 @@
 		total += zone.Directors
 	}
 	if total == 0 {
-		report("zones", "no director", "directors in one zone at least")
+		report("zones", "no director", "directors in at least one zone")
 	}
 }
--- a/internal/topology/decode.go
+++ b/internal/topology/decode.go
@@ -1,6 +1,6 @@
 package topology
 
-// Reading of operator files: a file becomes a value, or the list of all its faults.
+// Decoding of operator files. All faults of a file are reported together.
 
 import (
 	"bytes"
@@ -18,7 +18,8 @@
 	"github.com/goccy/go-yaml/parser"
 )
 
-// maxFileBytes is the maximum size of a file. A larger file is a mistake, and its parsing would take much memory and time.
+// maxFileBytes is the maximum size of a file. A larger file is given by mistake, and parsing it would take much memory and
+// time.
 const maxFileBytes = 16 << 20
 
 // Read reads a description from a file. The error is of type Faults if the file can be read but has faults.
@@ -30,7 +31,7 @@
 	return Parse(path, raw)
 }
 
-// Parse reads a description from the contents of a file and sets defaults. The error is of type Faults and names the file.
+// Parse decodes a description from the contents of a file and sets defaults. The error is of type Faults and names the file.
 func Parse(file string, raw []byte) (*Topology, error) {
 	t := &Topology{}
 	if err := Decode(file, raw, t, t.check); err != nil {
@@ -40,9 +41,9 @@
 	return t, nil
 }
 
-// Decode reads strict YAML into target, a pointer to a struct with yaml and validate tags. The function check, which may be
-// nil, reports faults that tags cannot express. The error is of type Faults, in the order of lines. All operator files are
-// read by Decode.
+// Decode decodes strict YAML into target, a pointer to a struct with yaml and validate tags. The function check, which may
+// be nil, reports faults that tags cannot express. The error is of type Faults, in the order of lines. All operator files
+// are decoded by Decode.
 func Decode(file string, raw []byte, target any, check func(report ReportFault)) error {
 	root, fault := parseDocument(file, raw)
 	if fault != nil {
@@ -72,7 +73,7 @@
 // parseDocument returns the root of the only document in a file.
 func parseDocument(file string, raw []byte) (ast.Node, *Fault) {
 	if len(raw) > maxFileBytes {
-		return nil, &Fault{File: file, Expects: fmt.Sprintf("at most %d MB expected", maxFileBytes>>20)}
+		return nil, &Fault{File: file, Expects: fmt.Sprintf("the file is larger than the maximum of %d MB", maxFileBytes>>20)}
 	}
 	tree, err := parser.ParseBytes(raw, 0)
 	if err != nil {
@@ -80,15 +81,15 @@
 		return nil, &fault
 	}
 	if len(tree.Docs) != 1 || tree.Docs[0].Body == nil {
-		return nil, &Fault{File: file, Found: fmt.Sprintf("%d documents, or an empty one", len(tree.Docs)), Expects: "one document"}
+		return nil, &Fault{File: file, Found: fmt.Sprintf("%d documents, or an empty document", len(tree.Docs)), Expects: "exactly one document with content"}
 	}
 	return tree.Docs[0].Body, nil
 }
 
-// yamlPosition matches the beginning of an error of the YAML library: [line:column].
+// yamlPosition matches the position at the beginning of an error of the YAML library: [line:column].
 var yamlPosition = regexp.MustCompile(`^\[(\d+):\d+\] *`)
 
-// yamlFault returns an error of the YAML library as a fault, with its first line only.
+// yamlFault converts an error of the YAML library to a fault. It uses the first line of the error only.
 func yamlFault(file string, err error) Fault {
 	firstLine, _, _ := strings.Cut(err.Error(), "\n")
 	position := yamlPosition.FindStringSubmatch(firstLine)
--- a/internal/topology/decode_test.go
+++ b/internal/topology/decode_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestFaultsNameFileLineAndKey reads files with many faults. All are reported at once, each with its line, its key, what was
-// found and what is expected. Faults of tags and names are reported only if there are no faults of types.
-func TestFaultsNameFileLineAndKey(t *testing.T) {
+// TestParseReportsAllFaults parses files with many faults. Parse must report all of them at once, each with its line, its key,
+// the value found and the value expected. Violated tags and wrong names are reported only if all types are correct.
+func TestParseReportsAllFaults(t *testing.T) {
 	text := replaceEach(t, exampleText(t), map[string]string{
 		"link: 1.5MB/s ":    "link: 1.5MB ",
 		"cores: 2":          "cores: two",
@@ -43,12 +43,12 @@
 		"vhosts[1].timeout: found «3ms», expected no less than aim",
 		"vhosts[0].sizes.most: found «16KB», expected no less than least",
 		"vhosts[1].name: found «page» a second time",
-		"zones[0]: found zone west with directors and without caches")
+		"zones[0]: found zone west with directors but without caches")
 }
 
-// TestDecoderFaultsHavePublishedNames reads values that pass the check of types and not the decoder. Its errors name the
-// field by its published name, whatever its Go name is.
-func TestDecoderFaultsHavePublishedNames(t *testing.T) {
+// TestDecoderErrorsUsePublishedNames parses values that the check of types accepts but the decoder rejects. The error must
+// name the field by its published name and not by its Go name.
+func TestDecoderErrorsUsePublishedNames(t *testing.T) {
 	anchored := replaceEach(t, exampleText(t), map[string]string{
 		"flow: 200KB/s":       "flow: &rate 200KB/s",
 		"demand: {share: 80%": "demand: &demand {share: 80%",
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestUnreadableFilesAreErrors parses texts that are not a description, and reads a file that does not exist. The errors
-// name the file.
-func TestUnreadableFilesAreErrors(t *testing.T) {
+// TestParseRejectsInvalidFiles parses texts that are not a description, and reads a file that does not exist. Each must fail,
+// and an error of Parse must name the file.
+func TestParseRejectsInvalidFiles(t *testing.T) {
 	for _, test := range []struct{ name, text string }{
 		{name: "empty", text: ""},
 		{name: "open bracket", text: "["},
@@ -100,12 +100,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			description, err := Parse("bad.yaml", []byte(test.text))
 			if err == nil {
-				t.Fatalf("accepted as %+v", description)
+				t.Fatalf("got %+v, want an error", description)
 			}
 			checkErrorHas(t, err, "bad.yaml")
 		})
 	}
 	if _, err := Read(filepath.Join(t.TempDir(), "none.yaml")); err == nil {
-		t.Error("a file that does not exist was read")
+		t.Error("reading a file that does not exist: got no error, want one")
 	}
 }
--- a/internal/topology/defaults.go
+++ b/internal/topology/defaults.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Defaults of keys. A value of 0 counts as left out.
+// Default values of keys. A key with the value 0 counts as left out.
 const (
 	defaultListDelay        = Duration(500 * time.Millisecond)
 	defaultDirectorCores    = 1
@@ -36,7 +36,7 @@
 // setDefaults sets the keys that a slow start leaves out.
 func (s *SlowStart) setDefaults() { s.DownTime = cmp.Or(s.DownTime, s.Window) }
 
-// setDefaults sets the keys that the settings of directors leave out.
+// setDefaults sets the keys that the description of directors leaves out.
 func (d *Directors) setDefaults() {
 	d.Cores = cmp.Or(d.Cores, defaultDirectorCores)
 	d.Memory = cmp.Or(d.Memory, defaultDirectorMemory)
--- a/internal/topology/fault.go
+++ b/internal/topology/fault.go
@@ -1,6 +1,6 @@
 package topology
 
-// Faults of an operator file, as messages for operators.
+// Faults found in operator files, and their messages.
 
 import (
 	"fmt"
@@ -8,28 +8,28 @@
 	"strings"
 )
 
-// Fault is one fault in a file.
+// Fault is one fault in an operator file.
 type Fault struct {
 	File    string
 	Line    int    // from 1; 0: the fault is in the file as a whole
 	Key     string // path of the key, such as kinds[2].number; empty: none
-	Found   string // what the file has; empty: Expects is the complete message
-	Expects string // what is expected
+	Found   string // what the file has at the key; empty: Expects is the complete message
+	Expects string // what is accepted in its place
 }
 
-// Error returns the file, the line, the key, what was found and what is expected, as far as they are known.
+// Error formats the fault as "file:line: key: found x, expected y". It leaves out the parts that are unknown.
 func (f Fault) Error() string {
-	where := f.File
+	location := f.File
 	if f.Line > 0 {
-		where += ":" + strconv.Itoa(f.Line)
+		location += ":" + strconv.Itoa(f.Line)
 	}
 	if f.Key != "" {
-		where += ": " + f.Key
+		location += ": " + f.Key
 	}
 	if f.Found == "" {
-		return where + ": " + f.Expects
+		return location + ": " + f.Expects
 	}
-	return fmt.Sprintf("%s: found %s, expected %s", where, f.Found, f.Expects)
+	return fmt.Sprintf("%s: found %s, expected %s", location, f.Found, f.Expects)
 }
 
 // Faults are all faults of a file, in the order of lines.
@@ -44,9 +44,9 @@
 	return strings.Join(lines, "\n")
 }
 
-// ReportFault reports one fault in a file: the path of the key, such as kinds[2].number, what was found there, and what is
-// expected. Only the first fault of a key is kept.
-type ReportFault = func(key, found, expects string)
+// ReportFault records a fault in a file: the path of the key, such as kinds[2].number, what was found there, and what is
+// expected. Later faults of the same key are ignored.
+type ReportFault = func(key, found, expected string)
 
 // faultList collects the faults of one file.
 type faultList struct {
@@ -56,11 +56,11 @@
 	keys   map[string]bool // keys with a fault
 }
 
-// report adds a fault. It is a ReportFault.
-func (l *faultList) report(key, found, expects string) {
+// report adds a fault, unless the key has one already. It is a ReportFault.
+func (l *faultList) report(key, found, expected string) {
 	if l.keys[key] {
 		return
 	}
 	l.keys[key] = true
-	l.faults = append(l.faults, Fault{File: l.file, Line: l.lines.lineOf(key), Key: key, Found: found, Expects: expects})
+	l.faults = append(l.faults, Fault{File: l.file, Line: l.lines.lineOf(key), Key: key, Found: found, Expects: expected})
 }
--- a/internal/topology/line_index.go
+++ b/internal/topology/line_index.go
@@ -1,6 +1,6 @@
 package topology
 
-// Lines of keys, for the messages of faults.
+// Line numbers of keys, for the messages of faults.
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/goccy/go-yaml/ast"
 )
 
-// lineIndex holds the line of each key and list item of a file, from 1, by its path.
+// lineIndex maps the path of each key and list item of a file to its line number, which counts from 1.
 type lineIndex map[string]int
 
 // add indexes a node and all nodes below it.
@@ -32,7 +32,7 @@
 	}
 }
 
-// lineOf returns the line of a key. If the file lacks the key, it returns the line of the nearest key around it.
+// lineOf returns the line of a key. If the file lacks the key, it returns the line of the nearest enclosing key, or line 1.
 func (l lineIndex) lineOf(key string) int {
 	for key != "" {
 		if line := l[key]; line > 0 {
@@ -53,5 +53,5 @@
 // keyOf returns the key of an entry of a mapping.
 func keyOf(entry *ast.MappingValueNode) string { return unquoted(entry.Key.String()) }
 
-// unquoted returns a scalar as it is written, without the space and quotes around it.
+// unquoted returns the text of a scalar without the white space and quotes around it.
 func unquoted(scalar string) string { return strings.Trim(strings.TrimSpace(scalar), `"'`) }
--- a/internal/topology/machine.go
+++ b/internal/topology/machine.go
@@ -23,9 +23,9 @@
 // Machine is one machine of a description.
 type Machine struct {
 	ID   uint32
-	Name string // kind or group of parents, zone and number, such as std-west-3
+	Name string // kind or group of parents, zone and number: std-west-3
 	Role Role
-	Kind int // of a cache its index in Kinds, of a parent its index in Parents; 0 for the origin
+	Kind int // index in Kinds for a cache, in Parents for a parent; 0 for the origin
 	Zone int // index in Zones; 0 for the origin
 }
 
@@ -38,16 +38,17 @@
 	OriginID      = 0x7fffffff
 )
 
-// Parts of an ID. That of a cache is a hash above its zone, that of a parent its group above its number in the group.
+// Bit fields of an ID. The ID of a cache has a hash in the high bits and the zone in the low bits. The ID of a parent has the
+// group in the high bits and the number within the group in the low bits.
 const (
-	zoneIDBits   = 8 // of at most 250 zones
+	zoneIDBits   = 8 // for at most 250 zones
 	hashIDBits   = 22
 	cacheIDBits  = hashIDBits + zoneIDBits
-	parentIDBits = 12 // of at most 1000 parents in a group
+	parentIDBits = 12 // for at most 1000 parents in a group
 )
 
-// Machines returns all machines: caches in the order of kind, zone and number, then parents, then the origin. IDs are
-// computed from kind, zone and number, so that machines keep theirs when a zone or a kind grows. All IDs differ.
+// Machines returns all machines: caches in the order of kind, zone and number, then parents, then the origin. IDs are unique.
+// They are computed from kind, zone and number, so that existing machines keep their IDs when a zone or a kind grows.
 func (t *Topology) Machines() []Machine {
 	machines := append(t.caches(), t.parents()...)
 	return append(machines, Machine{ID: OriginID, Name: "origin", Role: OriginRole})
@@ -55,7 +56,7 @@
 
 // caches returns all caches.
 func (t *Topology) caches() (caches []Machine) {
-	taken := map[uint32]bool{} // IDs
+	taken := map[uint32]bool{} // IDs assigned so far
 	for k, kind := range t.Kinds {
 		for z, zone := range t.Zones {
 			for i := range kind.CountByZone[zone.Name] {
@@ -73,7 +74,7 @@
 }
 
 // freeCacheID returns the ID of a cache and marks it as taken. Among thousands of caches two may have the same hash. The
-// later one then has the next free ID of the zone.
+// second of them gets the next free ID of the zone.
 func freeCacheID(kind, zone, number int, taken map[uint32]bool) uint32 {
 	hash := routing.Hash(uint64(kind), uint64(zone), uint64(number))
 	id := uint32(hash&(1<<hashIDBits-1))<<zoneIDBits | uint32(zone)
@@ -101,7 +102,7 @@
 	return parents
 }
 
-// machineName returns the name of a machine of a kind or group of parents.
+// machineName returns the name of a cache of a kind, or of a parent of a group.
 func machineName(kind, zone string, number int) string {
 	return kind + "-" + zone + "-" + strconv.Itoa(number)
 }
--- a/internal/topology/platform_config.go
+++ b/internal/topology/platform_config.go
@@ -10,8 +10,8 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// platformConfig is the JSON configuration that a director starts with, in the form of the platform. Package config reads
-// it. Keys are in alphabetical order. Durations are whole microseconds.
+// platformConfig is the JSON configuration that a director starts with, in the platform's format, which package config
+// reads. Keys are in alphabetical order. Durations are whole microseconds.
 type platformConfig struct {
 	Flow     float64          `json:"flow_bytes_per_s"`
 	Journal  string           `json:"journal"`
@@ -30,7 +30,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// platformSettings holds the settings of decisions, routing.Settings in the form of the platform.
+// platformSettings holds the values of routing.Settings in the platform's format.
 type platformSettings struct {
 	Classes   []platformClass   `json:"classes"`
 	Domain    platformDomain    `json:"domain"`
@@ -43,7 +43,7 @@
 	Zones     []string          `json:"zones"`
 }
 
-// platformClass is a request class. The platform keeps its other properties in platformDomain.
+// platformClass holds some properties of a request class. The others are in platformDomain.
 type platformClass struct {
 	LatencyObjective int64   `json:"aim"`
 	ObjectiveStretch float64 `json:"aimStretch"`
@@ -55,7 +55,7 @@
 }
 
 // platformDomain holds properties of request classes, zones, parents and the origin. FreshFor, StaleGrace, SplitInParts and
-// Writes have a value for each class, Hubs and DirectorsByZone for each zone.
+// Writes have one value for each class. Hubs and DirectorsByZone have one value for each zone.
 type platformDomain struct {
 	FreshFor               []int64 `json:"classFresh"`
 	StaleGrace             []int64 `json:"classGrace"`
@@ -73,7 +73,7 @@
 	DirectorsByZone        []int   `json:"zoneBalancers"`
 }
 
-// platformLimits holds limits of decisions.
+// platformLimits holds the limits of routing decisions.
 type platformLimits struct {
 	CancelAllowed     bool  `json:"cancel"`
 	MaxRetryAfter     int64 `json:"maxRetryAfter"`
@@ -82,7 +82,7 @@
 	MaxAttempts       int   `json:"sendCap"`
 }
 
-// platformSlowStart is the slow start of caches.
+// platformSlowStart holds the slow start settings of caches.
 type platformSlowStart struct {
 	OverloadMultiple float64 `json:"fallMultiple"`
 	Duration         int64   `json:"rampTime"`
@@ -93,7 +93,7 @@
 // maxStreams is the maximum number of requests in flight on one connection to a cache.
 const maxStreams = 32
 
-// platformEffects and platformScopes hold the words of the platform.
+// platformEffects and platformScopes map routing settings to their names in the platform's format.
 var (
 	platformEffects = map[routing.Effect]string{
 		routing.Idempotent:       "read_like",
@@ -107,9 +107,9 @@
 	}
 )
 
-// Config returns the JSON configuration of a director of a zone. The parameter listen is the address at which it listens,
-// journal the address of the discovery service, index its index among all directors, and known the initial snapshot of
-// discovery. It fails if known cannot be marshaled.
+// Config returns the JSON configuration of a director of a zone. The parameter listen is the address at which the director
+// listens, journal is the address of the discovery service, index is the index of the director among all directors, and
+// known is the initial snapshot of discovery. Config fails if known cannot be marshaled.
 func (t *Topology) Config(name, listen, journal string, zone, index int, seed uint64, known any) ([]byte, error) {
 	config := platformConfig{
 		Flow:    float64(t.Flow),
@@ -128,12 +128,12 @@
 	return json.MarshalIndent(config, "", " ")
 }
 
-// platformSettings returns settings in the form of the platform.
+// platformSettings converts routing settings to the platform's format.
 func (t *Topology) platformSettings(s routing.Settings) platformSettings {
 	settings := platformSettings{
 		Directors: s.Directors,
 		Index:     s.Index,
-		Kinds:     []string{"cache", "parent", "origin"}, // by Role
+		Kinds:     []string{"cache", "parent", "origin"}, // indexed by Role
 		Zone:      s.Zone,
 		Domain: platformDomain{
 			FlowKBPerSecond:        s.FlowKBPerSecond,
@@ -169,7 +169,7 @@
 	return settings
 }
 
-// addClass adds a class to all lists with a value for each class.
+// addClass appends a class to all lists that have one value for each class.
 func (s *platformSettings) addClass(name string, class routing.Class) {
 	s.Classes = append(s.Classes, platformClass{
 		LatencyObjective: micros(class.LatencyObjective),
@@ -187,5 +187,5 @@
 	domain.Writes = append(domain.Writes, class.Write)
 }
 
-// micros returns a duration in microseconds, the platform's unit of time, rounded down.
+// micros converts a duration to microseconds, the platform's unit of time, rounded down.
 func micros(d time.Duration) int64 { return d.Microseconds() }
--- a/internal/topology/published_names.go
+++ b/internal/topology/published_names.go
@@ -1,7 +1,7 @@
 package topology
 
-// Published names of Go types and fields. Operators see them in the schema and in messages of the YAML decoder. They are
-// output and do not change with the Go names.
+// Published names of Go types and fields. Operators see them in the schema and in messages of the YAML decoder, so they do
+// not change when the Go names change.
 
 import (
 	"errors"
@@ -19,8 +19,8 @@
 	reflect.TypeFor[SlowStart]():    "Cold",
 }
 
-// publishedFields holds the fields of a Topology whose published name differs from the Go name. The decoder names fields of
-// the outermost struct only.
+// publishedFields holds the fields of a Topology whose published name differs from the Go name. The messages of the decoder
+// name fields of the outermost struct only.
 var publishedFields = map[string]string{
 	"Classes":         "Vhosts",
 	"SlowStart":       "Cold",
@@ -28,24 +28,24 @@
 	"ListDelay":       "News",
 }
 
-// publishedTypeName returns the published name of a type. It is empty if that is the Go name.
+// publishedTypeName returns the published name of a type, or an empty string if the type is published under its Go name.
 func publishedTypeName(t reflect.Type) string { return publishedTypes[t] }
 
-// publishField changes an error of the decoder that names a field of a Topology to the published name of the field. It
-// ignores other errors.
+// publishField replaces the Go name of a Topology field in an error of the decoder by the published name. It leaves other
+// errors unchanged.
 func publishField(err error) {
 	var typeError *yaml.TypeError
 	if !errors.As(err, &typeError) || typeError.StructFieldName == nil {
 		return
 	}
-	described := reflect.TypeFor[Topology]()
-	field, ok := strings.CutPrefix(*typeError.StructFieldName, described.Name()+".")
+	topologyType := reflect.TypeFor[Topology]()
+	field, ok := strings.CutPrefix(*typeError.StructFieldName, topologyType.Name()+".")
 	if !ok {
 		return
 	}
 	if published, renamed := publishedFields[field]; renamed {
 		field = published
 	}
-	name := publishedTypeName(described) + "." + field
+	name := publishedTypeName(topologyType) + "." + field
 	typeError.StructFieldName = &name
 }
--- a/internal/topology/request_class.go
+++ b/internal/topology/request_class.go
@@ -1,6 +1,6 @@
 package topology
 
-// Request classes: latency objectives, idempotency, sizes, generated load.
+// Request classes: latency objectives, idempotency, sizes and generated load.
 
 import (
 	"math"
@@ -27,7 +27,8 @@
 	Demand           Demand   `yaml:"demand" jsonschema:"description=the load that stand makes"`
 }
 
-// Sizes bounds the size of an object, or of a part of an object. The logarithm of the sizes is uniformly distributed.
+// Sizes bounds the size of an object, or of a part if objects are split in parts. The logarithm of the size is uniformly
+// distributed between the bounds.
 type Sizes struct {
 	Min Size `yaml:"least" validate:"gt=0"`
 	Max Size `yaml:"most" validate:"gtefield=Min,lte=240000"`
@@ -52,7 +53,7 @@
 	dedupCell = "cell"
 )
 
-// EffectOf returns whether the requests of the class are idempotent.
+// EffectOf returns the idempotency of the requests of the class, as a routing setting.
 func (c *RequestClass) EffectOf() routing.Effect {
 	switch c.Effect {
 	case effectIdempotent:
@@ -63,7 +64,7 @@
 	return routing.NonIdempotent
 }
 
-// dedupScope returns the caches among which a second request with the same idempotency key is dropped.
+// dedupScope returns the set of caches within which a second request with the same idempotency key is dropped.
 func (c *RequestClass) dedupScope() routing.DedupScope {
 	switch c.DedupScope {
 	case dedupAll:
@@ -74,10 +75,11 @@
 	return routing.DedupCell
 }
 
-// sizeSalt makes the hash of a size differ from other hashes of an object.
+// sizeSalt makes the hash that determines sizes differ from other hashes of an object.
 const sizeSalt = 0x517e
 
-// SizeOf returns the size in bytes of a part of an object. It is the same at every call, because a hash draws it.
+// SizeOf returns the size in bytes of a part of an object. Every call for the same part returns the same size, because the
+// size is determined by a hash.
 func (c *RequestClass) SizeOf(object uint64, part uint32) int {
 	const drawBits = 53 // precision of a float64
 	draw := float64(routing.Hash(object, uint64(part), sizeSalt)>>(64-drawBits)) / (1 << drawBits)
@@ -85,8 +87,8 @@
 	return int(smallest * math.Pow(largest/smallest, draw))
 }
 
-// LatencyObjective returns the time within which a response of a class must be complete. It grows with the size of the
-// response in bytes, by ObjectiveStretch of the time to send it, up to the timeout of the class.
+// LatencyObjective returns the time within which a response of a class must be complete. This is the objective of the class
+// plus ObjectiveStretch times the time to send the given number of bytes, but at most the timeout of the class.
 func (t *Topology) LatencyObjective(class, bytes int) time.Duration {
 	c := &t.Classes[class]
 	sendingTime := float64(bytes) / float64(t.Flow) * float64(time.Second)
--- a/internal/topology/schema.go
+++ b/internal/topology/schema.go
@@ -9,7 +9,7 @@
 	"github.com/invopop/jsonschema"
 )
 
-// unitSchemas holds the schemas of the units of this package. All operator files with such values use them.
+// unitSchemas holds the schemas of the unit types of this package, for all operator files that have values of these types.
 var unitSchemas = map[reflect.Type]*jsonschema.Schema{
 	reflect.TypeFor[Duration](): {Type: "string", Pattern: `^([0-9.]+(ns|us|µs|ms|s|m|h))+$`, Examples: []any{"300ms"}},
 	reflect.TypeFor[Size]():     {Type: "string", Pattern: `^[0-9.]+ ?(GB|MB|KB|B)$`, Examples: []any{"64KB"}},
@@ -36,8 +36,8 @@
 	return json.MarshalIndent(schema, "", "  ")
 }
 
-// unitSchema returns the schema of a unit, or nil for other types. It returns a copy, because the reflector writes the
-// description of a key into it.
+// unitSchema returns a copy of the schema of a unit type, or nil for other types. It returns a copy because the reflector
+// writes the description of a key into the schema.
 func unitSchema(t reflect.Type) *jsonschema.Schema {
 	schema, ok := unitSchemas[t]
 	if !ok {
--- a/internal/topology/schema_test.go
+++ b/internal/topology/schema_test.go
@@ -11,7 +11,7 @@
 	"github.com/santhosh-tekuri/jsonschema/v6"
 )
 
-// compiledSchema returns the schema of a description, ready to validate values.
+// compiledSchema returns the compiled schema of a description.
 func compiledSchema(t *testing.T) *jsonschema.Schema {
 	t.Helper()
 	raw, err := Schema()
@@ -47,16 +47,15 @@
 	return schema.Validate(value)
 }
 
-// TestSchemaAgreesWithTheDecoder validates all examples, which the schema and the decoder accept, and wrong values, which
-// both reject.
-func TestSchemaAgreesWithTheDecoder(t *testing.T) {
+// TestSchemaAgreesWithDecoder checks that the schema and the decoder both accept all examples and both reject wrong values.
+func TestSchemaAgreesWithDecoder(t *testing.T) {
 	schema := compiledSchema(t)
 	files, err := filepath.Glob("../../examples/plan/*.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(files) == 0 {
-		t.Error("no examples")
+		t.Error("got no example files, want at least one")
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -64,10 +63,10 @@
 			t.Fatal(err)
 		}
 		if err := validate(t, schema, text); err != nil {
-			t.Errorf("%s: the schema rejects it: %v", file, err)
+			t.Errorf("%s: the schema rejects the example: %v", file, err)
 		}
 		if _, err := Parse(file, text); err != nil {
-			t.Errorf("the decoder rejects it: %v", err)
+			t.Errorf("the decoder rejects an example: %v", err)
 		}
 	}
 	for _, test := range []struct{ name, from, to string }{
--- a/internal/topology/settings.go
+++ b/internal/topology/settings.go
@@ -1,6 +1,6 @@
 package topology
 
-// Settings of the decisions of a director.
+// The routing settings of a director.
 
 import (
 	"cmp"
@@ -9,21 +9,21 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// Values for keys of a slow start that are 0, because the settings of decisions must be above 0.
+// Replacements for slow start keys that are 0. Routing settings must be above 0.
 const (
 	shortestSlowStart     = time.Microsecond // a slow start that ends at once
-	unreachableOverload   = 1000             // multiple of the capacity; no machine fails by overload
+	unreachableOverload   = 1000             // multiple of the capacity that no load reaches, so that no machine fails by overload
 	defaultOverloadWindow = time.Second
 )
 
-// Units are powers of ten.
+// Decimal units of size.
 const (
 	bytesPerKB = 1000
 	bytesPerMB = 1e6
 )
 
-// Settings returns the settings of decisions for one director of a zone. The parameter index is its index among all
-// directors of the description, from 0.
+// Settings returns the routing settings of one director of a zone. The parameter index is its index among all directors of
+// the description, from 0.
 func (t *Topology) Settings(zone, index int, seed uint64) routing.Settings {
 	settings := routing.Settings{
 		Seed:               seed,
@@ -42,7 +42,7 @@
 		CacheSlowStart:     t.SlowStart.settings(),
 		ParentSlowStart:    t.ParentSlowStart.settings(),
 	}
-	settings.ParentSlowStart.Window = settings.CacheSlowStart.Window // directors have one setting for both
+	settings.ParentSlowStart.Window = settings.CacheSlowStart.Window // directors have one overload window, for both caches and parents
 	for _, z := range t.Zones {
 		settings.Hub = append(settings.Hub, z.Hub)
 		settings.Directors += z.Directors
@@ -53,7 +53,7 @@
 	return settings
 }
 
-// settings returns the settings of decisions for the class.
+// settings returns the routing settings of the class.
 func (c *RequestClass) settings() routing.Class {
 	return routing.Class{
 		LatencyObjective: c.LatencyObjective.Duration(),
@@ -69,7 +69,7 @@
 	}
 }
 
-// settings returns the settings of decisions for the slow start.
+// settings returns the routing settings of the slow start.
 func (s *SlowStart) settings() routing.SlowStart {
 	return routing.SlowStart{
 		InitialShare:     float64(s.Floor),
--- a/internal/topology/tag_check.go
+++ b/internal/topology/tag_check.go
@@ -1,6 +1,6 @@
 package topology
 
-// Checks of the validate tags of a decoded struct.
+// Checks of decoded structs against their validate tags.
 
 import (
 	"errors"
@@ -15,14 +15,15 @@
 // tagValidator checks validate tags. It names fields by their YAML keys.
 var tagValidator = newTagValidator()
 
-// newTagValidator returns the validator for tagValidator.
+// newTagValidator creates the validator that tagValidator holds.
 func newTagValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(yamlKey)
 	return v
 }
 
-// mapIndex matches an entry of a map in a path of the validator, such as [west]. Items of lists have numbers there.
+// mapIndex matches the key of a map entry in a path of the validator, such as [west]. The index of a list item is a number
+// and does not match.
 var mapIndex = regexp.MustCompile(`\[([^\]0-9][^\]]*)\]`)
 
 // checkTags reports the values that violate the validate tags of target, a pointer to a struct.
@@ -32,13 +33,13 @@
 		return
 	}
 	for _, violation := range violations {
-		_, path, _ := strings.Cut(violation.Namespace(), ".") // without the type of target
+		_, path, _ := strings.Cut(violation.Namespace(), ".") // drops the type name of target
 		path = mapIndex.ReplaceAllString(path, ".$1")
 		report(path, foundValue(violation), expectedByTag(target, violation))
 	}
 }
 
-// foundValue returns the value that violates a tag, as messages quote it.
+// foundValue formats the value that violates a tag for a message.
 func foundValue(violation validator.FieldError) string {
 	if kind := violation.Kind(); kind == reflect.Slice || kind == reflect.Map {
 		return fmt.Sprintf("%d entries", reflect.ValueOf(violation.Value()).Len())
@@ -50,7 +51,7 @@
 	return found
 }
 
-// expectedByTag returns in words what a tag expects.
+// expectedByTag describes the values that a tag accepts.
 func expectedByTag(target any, violation validator.FieldError) string {
 	parameter := violation.Param()
 	switch violation.Tag() {
@@ -70,8 +71,9 @@
 	return violation.Tag() + " " + parameter
 }
 
-// siblingKey returns the YAML key of the field named sibling in the struct that holds the field at a path. The path has the
-// Go names of types and fields, such as Topology.Classes[1].Timeout. If there is no such field it returns the name.
+// siblingKey returns the YAML key of the field named sibling in the struct that holds the field at a path. The path consists
+// of Go names of types and fields, such as Topology.Classes[1].Timeout. If there is no field named sibling, siblingKey
+// returns that name.
 func siblingKey(target any, path, sibling string) string {
 	holder := reflect.TypeOf(target).Elem()
 	names := strings.Split(strings.TrimPrefix(path, holder.Name()+"."), ".")
--- a/internal/topology/topology.go
+++ b/internal/topology/topology.go
@@ -1,8 +1,8 @@
 // Package topology describes an installation: zones and their links, kinds of caches, parents, the origin, request classes
 // and clients. A description is a YAML file, which is decoded strictly. The emulator and the capacity planner use it.
 //
-// Identifiers are the terms of the field (docs/glossary.md). YAML keys, descriptions in the schema and messages are a
-// published interface for operators and do not change with them.
+// Go identifiers use the terms of docs/glossary.md. YAML keys and the descriptions in the schema are a published interface
+// for operators and do not change when identifiers are renamed.
 package topology
 
 import (
@@ -66,8 +66,8 @@
 	Fetches int      `yaml:"fetches" validate:"gte=1" jsonschema:"description=at a time; more are refused"`
 }
 
-// SlowStart describes a machine after a start. Its capacity ramps up from the floor. Until the ramp ends, overload takes
-// the machine down.
+// SlowStart describes how a machine warms up after a start. Its capacity ramps up from the floor. Until the ramp ends,
+// overload takes the machine down.
 type SlowStart struct {
 	Floor            Share    `yaml:"floor" jsonschema:"description=of its capacity that it starts with"`
 	Ramp             Duration `yaml:"ramp" jsonschema:"description=warm after this; 0: at once"`
@@ -76,7 +76,7 @@
 	DownTime         Duration `yaml:"down" jsonschema:"description=after falling over, until it is back, cold; default the window"`
 }
 
-// Directors describes each director: the limits of its process, and of its decisions.
+// Directors describes every director: the limits of its process and of its routing decisions.
 type Directors struct {
 	Cores         float64  `yaml:"cores" validate:"gte=0"`
 	Memory        Size     `yaml:"memory"`
@@ -102,9 +102,9 @@
 	return indexes
 }
 
-// ServingZone returns the zone whose directors the clients of a zone use: their own zone, or else the next one in the
-// description that has directors and is not lost. It returns -1 if there is none. The function lost may be nil: then no
-// zone is lost.
+// ServingZone returns the zone whose directors serve the clients of a zone. This is their own zone or, if that is lost or has
+// no directors, the next zone of the description that has directors and is not lost. After the last zone comes the first.
+// ServingZone returns -1 if there is no such zone. If the function lost is nil, no zone is lost.
 func (t *Topology) ServingZone(zone int, lost func(zone int) bool) int {
 	for i := range t.Zones {
 		candidate := (zone + i) % len(t.Zones)
@@ -116,8 +116,8 @@
 	return -1
 }
 
-// HubDistance returns the number of steps between the hubs of two zones. The hubs form a ring, from 0 to the highest
-// position that a zone has.
+// HubDistance returns the number of steps between the hubs of two zones. The hubs form a ring with the positions from 0 to
+// the highest position of any zone's hub.
 func (t *Topology) HubDistance(from, to int) int {
 	hubs := 0
 	for _, zone := range t.Zones {
@@ -127,7 +127,7 @@
 	return min(clockwise, hubs-clockwise)
 }
 
-// Clone returns a copy. Changes to the lists of the copy do not change those of the original.
+// Clone returns a copy that has its own lists of zones, kinds, parents and classes.
 func (t *Topology) Clone() *Topology {
 	clone := *t
 	clone.Zones = slices.Clone(t.Zones)
--- a/internal/topology/units.go
+++ b/internal/topology/units.go
@@ -19,7 +19,7 @@
 // Rate is a number of bytes a second, written as in 400KB/s.
 type Rate float64
 
-// Share is a share of a whole, 0 to 1, written as in 20% or 0.2.
+// Share is a fraction of a whole, 0 to 1, written as in 20% or 0.2.
 type Share float64
 
 // Duration returns the duration as a time.Duration.
@@ -32,10 +32,10 @@
 func (d Duration) String() string { return time.Duration(d).String() }
 
 // String returns the size with its unit.
-func (s Size) String() string { return withUnit(float64(s)) }
+func (s Size) String() string { return formatBytes(float64(s)) }
 
 // String returns the rate with its unit.
-func (r Rate) String() string { return withUnit(float64(r)) + "/s" }
+func (r Rate) String() string { return formatBytes(float64(r)) + "/s" }
 
 // String returns the share as a percentage.
 func (s Share) String() string { return formatNumber(100*float64(s)) + "%" }
@@ -46,8 +46,8 @@
 	bytes float64
 }{{"GB", 1e9}, {"MB", 1e6}, {"KB", 1e3}, {"B", 1}}
 
-// withUnit returns a number of bytes in the largest unit that is not greater than it.
-func withUnit(bytes float64) string {
+// formatBytes formats a number of bytes in the largest unit that is not greater than the number.
+func formatBytes(bytes float64) string {
 	for _, unit := range sizeUnits {
 		if bytes >= unit.bytes {
 			return formatNumber(bytes/unit.bytes) + unit.name
@@ -56,15 +56,15 @@
 	return formatNumber(bytes) + "B"
 }
 
-// formatNumber returns a number with at most four significant digits.
+// formatNumber formats a number with at most four significant digits.
 func formatNumber(number float64) string { return strconv.FormatFloat(number, 'g', 4, 64) }
 
-// unitError says that a text is not a value with the expected unit.
+// unitError reports a text that is not a value with the expected unit.
 type unitError struct {
 	text     string
-	expected string // what is expected in its place, such as "a share"
-	verb     string // verb for expected: is or are
-	examples string // of what is expected
+	expected string // what the text should be, such as "a share"
+	verb     string // is or are, to agree in number with expected
+	examples string // of valid texts
 }
 
 // Error returns the text that was found and what is expected.
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("%q where %s %s expected, such as %s", e.text, e.expected, e.verb, e.examples)
 }
 
-// ParseDuration parses a duration with its unit. It rejects negative ones.
+// ParseDuration parses a duration with its unit. It rejects negative durations.
 func ParseDuration(text string) (Duration, error) {
 	duration, err := time.ParseDuration(text)
 	if err != nil || duration < 0 {
@@ -92,7 +92,7 @@
 		if err == nil && value >= 0 && !math.IsInf(value, 0) {
 			return Size(value * unit.bytes), nil
 		}
-		break // without a try of B, with which the other units end too
+		break // don't try B, which is a suffix of the other units
 	}
 	return 0, &unitError{text, "a size with its unit", "is", "64KB or 2MB"}
 }
--- a/internal/topology/units_test.go
+++ b/internal/topology/units_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestUnitsAreParsedAndPrinted parses a value of each unit, and prints those of sizes and rates.
-func TestUnitsAreParsedAndPrinted(t *testing.T) {
+// TestUnitsParseAndFormat parses a value of each unit type, and formats the size and the rate.
+func TestUnitsParseAndFormat(t *testing.T) {
 	if duration, err := ParseDuration("1m30s"); err != nil || duration.Duration() != 90*time.Second {
 		t.Errorf("1m30s: got %v, %v", duration, err)
 	}
@@ -23,22 +23,22 @@
 	}
 }
 
-// TestWrongUnitsAreErrors parses texts that are neither a duration, a rate nor a share.
-func TestWrongUnitsAreErrors(t *testing.T) {
+// TestUnitsRejectInvalidText parses texts that are neither a duration, a rate nor a share.
+func TestUnitsRejectInvalidText(t *testing.T) {
 	for _, text := range []string{"", "300", "-1s", "1e400MB", "8MB", "120%", "NaN", "-3"} {
 		if duration, err := ParseDuration(text); err == nil {
-			t.Errorf("duration %q was accepted as %v", text, duration)
+			t.Errorf("parsing %q as a duration: got %v, want an error", text, duration)
 		}
 		if rate, err := ParseRate(text); err == nil {
-			t.Errorf("rate %q was accepted as %v", text, rate)
+			t.Errorf("parsing %q as a rate: got %v, want an error", text, rate)
 		}
 		if share, err := ParseShare(text); err == nil {
-			t.Errorf("share %q was accepted as %v", text, share)
+			t.Errorf("parsing %q as a share: got %v, want an error", text, share)
 		}
 	}
 }
 
-// unitsFile is a file with a value of each unit in a list.
+// unitsFile is the type of a file that has values of all unit types.
 type unitsFile struct {
 	Base Duration `yaml:"base"`
 	List []struct {
@@ -49,8 +49,9 @@
 	} `yaml:"list"`
 }
 
-// TestUnitsInYAML reads units that are plain, quoted, given by an alias and, for shares, numbers. All are read alike.
-func TestUnitsInYAML(t *testing.T) {
+// TestDecodeUnits decodes units that are plain, quoted, given by an alias and, for shares, numbers. All forms must give the
+// same values.
+func TestDecodeUnits(t *testing.T) {
 	const text = `
 base: &base 1m30s
 list:
@@ -61,25 +62,26 @@
   - {part: 2e-1}
   - {part: 1}
 `
-	var read unitsFile
-	if err := Decode("x", []byte(text), &read, nil); err != nil {
+	var decoded unitsFile
+	if err := Decode("x", []byte(text), &decoded, nil); err != nil {
 		t.Fatal(err)
 	}
-	for i, entry := range read.List[:2] {
+	for i, entry := range decoded.List[:2] {
 		if entry.Each.Duration() != 300*time.Millisecond || entry.Of != 64e3 || entry.At != 2.5e6 || entry.Part != 0.2 {
 			t.Errorf("entry %d: got %+v, want 300ms, 64KB, 2.5MB/s and 20%%", i, entry)
 		}
 	}
-	if entry := read.List[2]; entry.Each.Duration() != 90*time.Second || entry.Of != 800 || entry.At != 1e3 || entry.Part != 0.2 {
+	if entry := decoded.List[2]; entry.Each.Duration() != 90*time.Second || entry.Of != 800 || entry.At != 1e3 || entry.Part != 0.2 {
 		t.Errorf("entry 2: got %+v, want 1m30s, 800B, 1KB/s and 20%%", entry)
 	}
-	if read.List[3].Part != 0.2 || read.List[4].Part != 0.2 || read.List[5].Part != 1 {
-		t.Errorf("got shares %+v, want 0.2, 0.2 and 1", read.List[3:])
+	if decoded.List[3].Part != 0.2 || decoded.List[4].Part != 0.2 || decoded.List[5].Part != 1 {
+		t.Errorf("got shares %+v, want 0.2, 0.2 and 1", decoded.List[3:])
 	}
 }
 
-// TestWrongUnitsInYAMLAreFaults reads wrong values of units. The error names the line and the key where they are known.
-func TestWrongUnitsInYAMLAreFaults(t *testing.T) {
+// TestDecodeReportsInvalidUnits decodes invalid units. The error must name the line and the key, except for an alias of
+// another unit, which only the decoder rejects.
+func TestDecodeReportsInvalidUnits(t *testing.T) {
 	for _, test := range []struct{ name, text, wantErr string }{
 		{name: "no unit", text: "base: 300", wantErr: `x:1: base: found "300", expected a time with its unit`},
 		{
@@ -102,9 +104,9 @@
 	}
 }
 
-// TestReadingGrowsLinearly compares the memory that reading takes for each entry of a short and a long file. It does not
-// grow with the number of entries, as it would if each unit were read by a walk over the whole file.
-func TestReadingGrowsLinearly(t *testing.T) {
+// TestDecodeMemoryGrowsLinearly compares the memory per entry that is allocated to decode a short and a long file. It must not
+// grow with the number of entries, as it would if the decoder walked over the whole file for each unit.
+func TestDecodeMemoryGrowsLinearly(t *testing.T) {
 	bytesPerEntry := func(entries int) float64 {
 		raw := []byte("list:\n" + strings.Repeat("  - {each: 300ms, of: 64KB, at: 2.5MB/s, part: 20%}\n", entries))
 		var before, after runtime.MemStats
--- a/internal/topology/units_yaml.go
+++ b/internal/topology/units_yaml.go
@@ -1,14 +1,14 @@
 package topology
 
-// Reading and writing of units in YAML.
+// Conversion of units from and to YAML.
 
 // unit is implemented by pointers to values that are written with their unit.
 type unit interface {
-	// read sets the value from a text. The error is a *unitError.
+	// read parses a text and sets the value. The error is a *unitError.
 	read(text string) error
 }
 
-// readInto parses a text and sets the value. It leaves the value as it is if the text cannot be parsed.
+// readInto parses a text and sets the value. The value does not change if the text cannot be parsed.
 func readInto[T any](value *T, text string, parse func(string) (T, error)) error {
 	parsed, err := parse(text)
 	if err == nil {
@@ -24,8 +24,8 @@
 func (r *Rate) read(text string) error     { return readInto(r, text, ParseRate) }
 func (s *Share) read(text string) error    { return readInto(s, text, ParseShare) }
 
-// unmarshalUnit reads a value for the YAML decoder. It asks the decoder for a text and not for bytes of the file, because
-// the decoder walks over the whole document for the bytes of one value.
+// unmarshalUnit decodes a unit from YAML. It decodes the value as a string instead of taking its bytes from the file,
+// because the decoder walks over the whole document to find the bytes of one value.
 func unmarshalUnit(value unit, decode func(any) error) error {
 	var text string
 	if err := decode(&text); err != nil {
