--- a/internal/simulation/cache_memory.go
+++ b/internal/simulation/cache_memory.go
@@ -1,13 +1,13 @@
 package simulation
 
-// The memory of a cache or parent: what it keeps and what it evicts.
+// The memory of a cache or parent, with eviction by retention rank and least recent use.
 
 import (
 	"container/list"
 	"time"
 )
 
-// maxRank is the highest retention rank; a higher rank in a request counts as maxRank. Segments of rank 0 are not cached.
+// maxRank is the highest retention rank. A higher rank in a request counts as maxRank. Segments of rank 0 are not cached.
 const maxRank = 3
 
 // segment identifies one part of an object. It is the unit of caching.
@@ -22,11 +22,11 @@
 	bytes   float64
 	rank    uint8         // retention rank, 1 to maxRank
 	born    time.Duration // when the origin sent it
-	element *list.Element // its element in the list of its rank
+	element *list.Element // of the list of its rank in cacheMemory.byRank
 }
 
-// cacheMemory holds copies up to a capacity in bytes. A new copy evicts copies of the lowest ranks first and, within a
-// rank, the least recently used first. It never evicts a copy of a rank above its own.
+// cacheMemory holds copies up to a capacity in bytes. A new copy evicts copies of the lowest rank first and, within a rank,
+// the least recently used copy first. A copy with a higher rank than the new copy is never evicted.
 type cacheMemory struct {
 	capacity float64 // bytes
 	used     float64 // bytes
@@ -42,15 +42,17 @@
 // get returns the copy of a segment, or nil if there is none.
 func (m *cacheMemory) get(s segment) *cachedCopy { return m.copies[s] }
 
-// touch makes a copy the most recently used of its rank. A rank above the copy's own replaces it.
+// touch makes a copy the most recently used copy of its rank. If the given rank is higher than the rank of the copy, it
+// becomes the rank of the copy.
 func (m *cacheMemory) touch(used *cachedCopy, rank uint8) {
 	m.byRank[used.rank].Remove(used.element)
 	used.rank = max(used.rank, min(rank, maxRank))
 	used.element = m.byRank[used.rank].PushFront(used)
 }
 
-// put caches a segment and replaces an older copy of it, whose rank counts if it is the higher one. If evicting all that
-// the segment may evict would not free enough memory, put evicts nothing and the segment is not cached.
+// put caches a segment and replaces an older copy of it. The new copy gets the higher of its own rank and that of the older
+// copy. If the memory cannot be freed by evicting copies up to this rank, put evicts no other copy and does not cache the
+// segment.
 func (m *cacheMemory) put(s segment, bytes float64, rank uint8, born time.Duration) {
 	if old := m.copies[s]; old != nil {
 		rank = max(rank, old.rank)
@@ -67,7 +69,7 @@
 	m.used += bytes
 }
 
-// admits reports whether a segment of a size and rank can be cached.
+// admits reports whether a segment with the given size and rank can be cached.
 func (m *cacheMemory) admits(bytes float64, rank uint8) bool {
 	if rank == 0 || bytes > m.capacity {
 		return false
@@ -86,7 +88,7 @@
 	return free >= bytes
 }
 
-// evictFor evicts copies, from the lowest rank up, until the given number of bytes is free.
+// evictFor evicts copies, those of the lowest rank first, until the given number of bytes is free.
 func (m *cacheMemory) evictFor(bytes float64) {
 	for rank := uint8(1); m.capacity-m.used < bytes; rank++ {
 		for m.capacity-m.used < bytes && m.byRank[rank].Len() > 0 {
@@ -95,7 +97,7 @@
 	}
 }
 
-// remove takes a copy out of the memory.
+// remove removes a copy from the memory.
 func (m *cacheMemory) remove(removed *cachedCopy) {
 	m.byRank[removed.rank].Remove(removed.element)
 	delete(m.copies, removed.segment)
--- a/internal/simulation/cache_memory_test.go
+++ b/internal/simulation/cache_memory_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestMemoryKeepsWithinCapacityAndEvictsNoHigherRank caches random segments. The copies never exceed the capacity, and a
-// segment evicts no copy of a rank above its own.
-func TestMemoryKeepsWithinCapacityAndEvictsNoHigherRank(t *testing.T) {
+// TestCacheMemoryCapacityAndRanks caches random segments. The copies must never exceed the capacity, and a segment must not
+// evict a copy with a higher rank than its own.
+func TestCacheMemoryCapacityAndRanks(t *testing.T) {
 	const capacity = 1000
 	random := rand.New(rand.NewPCG(1, 2))
 	memory := newCacheMemory(capacity)
@@ -26,16 +26,16 @@
 			used += cached.bytes
 		}
 		if math.Abs(used-memory.used) > 1e-6 {
-			t.Fatalf("the copies have %g bytes, the memory counts %g", used, memory.used)
+			t.Fatalf("sum of the copies: got %g bytes, want %g as counted by the memory", used, memory.used)
 		}
 		if used > capacity {
-			t.Fatalf("the copies have %g bytes, want at most %d", used, capacity)
+			t.Fatalf("sum of the copies: got %g bytes, want at most %d", used, capacity)
 		}
 		highestEvictable := max(rank, ranksBefore[wanted])
 		for other, rankBefore := range ranksBefore {
 			evicted := other != wanted && memory.copies[other] == nil
 			if evicted && rankBefore > highestEvictable {
-				t.Fatalf("a segment of rank %d evicted one of rank %d", highestEvictable, rankBefore)
+				t.Fatalf("a segment of rank %d evicted a copy of rank %d, want no eviction of a higher rank", highestEvictable, rankBefore)
 			}
 		}
 	}
--- a/internal/simulation/cache_server.go
+++ b/internal/simulation/cache_server.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Request handling of a cache: slots, queue, hits, background revalidation, responses.
+// Request handling of a cache: slots, queue, hits, background revalidations and responses.
 
 import (
 	"slices"
@@ -10,19 +10,19 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// cacheServer is the part of a cache that handles requests. Each request has a slot until it ends. Requests without a
-// slot wait in a queue of bounded length. Responses share the cores.
+// cacheServer is the part of a cache that handles requests. A request occupies a slot until it ends. If all slots are taken,
+// requests wait in a queue of bounded length. Responses share the cores.
 type cacheServer struct {
 	kind          *topology.CacheKind
 	cores         cores
 	completion    *event                  // end of the next job on the cores; nil: none scheduled
-	open          map[uint64]*openRequest // by request id; in a slot or in the queue
-	queue         []*openRequest          // the longest waiting first
+	open          map[uint64]*openRequest // requests in a slot or in the queue, by request id
+	queue         []*openRequest          // in the order of arrival
 	active        int                     // requests in slots
 	revalidations map[segment]*fill       // in progress
 }
 
-// newCacheServer returns a cache of a kind, at full speed and without requests.
+// newCacheServer returns the request handling of a cache of a kind, at full speed and without requests.
 func newCacheServer(kind *topology.CacheKind) cacheServer {
 	return cacheServer{
 		kind:          kind,
@@ -32,24 +32,24 @@
 	}
 }
 
-// openRequest is a request that a cache has not responded to yet.
+// openRequest is a request to which a cache has not yet responded.
 type openRequest struct {
 	Request
 	cache         *machine
-	fillStartedAt time.Duration // meaningless without a fill
-	fill          *fill         // nil: a hit, or still queued
-	job           *job          // sending of the response; nil: not begun
+	fillStartedAt time.Duration // valid if fill is not nil
+	fill          *fill         // nil: a hit, or still in the queue
+	job           *job          // work to send the response; nil: not begun
 	ended         bool
 
 	// Fields of the response.
 	cacheStatus routing.Fill
-	waited      time.Duration // for the fill
+	waited      time.Duration // time spent waiting for the fill
 	born        time.Duration // when the origin sent the copy
 }
 
 // Submit sends a request to a cache at the time of the last Advance. A later Advance returns the response. The request is
-// Lost if the cache is down or the node is not a cache. A cache in slow start that is overloaded by the request goes
-// down.
+// Lost if the cache is down or the node is not a cache. If the request overloads a cache in slow start, the cache goes down
+// and the request is Lost.
 func (w *World) Submit(node uint32, request Request) {
 	m := w.machines[node]
 	if m == nil || !m.isUp() || m.Role != topology.Cache {
@@ -75,8 +75,8 @@
 	}
 }
 
-// Cancel ends a request without a response. Its fill continues, so that the copy is cached. A request that is not open is
-// ignored.
+// Cancel ends a request without a response. The fill of the request continues, so that the copy is cached. Cancel ignores a
+// request that is not open.
 func (w *World) Cancel(node uint32, id uint64) {
 	m := w.machines[node]
 	if m == nil || m.open[id] == nil {
@@ -98,7 +98,8 @@
 	return c.kind.OverheadTime.Seconds() + float64(request.Bytes)/float64(c.kind.CoreRate)
 }
 
-// start gives a request a slot. The request is then a hit, is filled, or is Missing if no other machine fills it.
+// start moves a request into a slot. A fresh copy in memory is a hit. Otherwise the cache fills the segment, or responds
+// Missing if the request names no other machine as fill source.
 func (w *World) start(r *openRequest) {
 	m := r.cache
 	m.active++
@@ -116,8 +117,8 @@
 	}
 }
 
-// isFresh reports whether a copy is no older than a request allows. A maximum age of 0, of both the request and the
-// class, allows any age.
+// isFresh reports whether a copy is no older than the maximum age of the request, or of the class if that of the request is
+// 0. If both are 0 a copy may have any age.
 func (w *World) isFresh(found *cachedCopy, class *topology.RequestClass, request *Request) bool {
 	maxAge := request.MaxAge
 	if maxAge == 0 {
@@ -126,8 +127,8 @@
 	return maxAge == 0 || w.now-found.born <= maxAge
 }
 
-// serveHit sends a copy from memory. It starts a background revalidation if the request asks for one and the copy is past
-// half of its freshness lifetime.
+// serveHit sends a copy from memory. It starts a background revalidation if the request has Revalidate set and the copy is
+// older than half of its freshness lifetime.
 func (w *World) serveHit(r *openRequest, class *topology.RequestClass, found *cachedCopy) {
 	r.cache.memory.touch(found, r.Rank)
 	r.born, r.cacheStatus = found.born, routing.CacheHit
@@ -141,8 +142,8 @@
 	w.send(r)
 }
 
-// revalidate fills the segment of a hit again in the background. A segment has one revalidation at a time, however many
-// hits it has meanwhile.
+// revalidate fills the segment of a hit again in the background. A segment has at most one revalidation at a time: further
+// hits during it start none.
 func (w *World) revalidate(r *openRequest) {
 	m := r.cache
 	if r.FillSource == noSource || m.revalidations[r.segment()] != nil {
@@ -160,8 +161,8 @@
 	w.scheduleCompletion(m)
 }
 
-// scheduleCompletion schedules the end of the next response that a cache completes, in place of what was scheduled. It
-// follows each change of the cache's jobs or speed.
+// scheduleCompletion schedules the completion of the next response of a cache and removes the event scheduled before. It must
+// be called after each change of the jobs or the speed of the cache.
 func (w *World) scheduleCompletion(m *machine) {
 	w.events.remove(m.completion)
 	m.completion = nil
@@ -195,16 +196,16 @@
 	w.release(r)
 }
 
-// respondLost responds that a request was lost with its cache.
+// respondLost adds the response to a request that was lost with its cache.
 func (w *World) respondLost(node uint32, id uint64) {
 	w.responses = append(w.responses, Response{ID: id, Node: node, Status: Lost, At: w.now})
 }
 
-// release removes an ended request from its cache. If that frees a slot, the next request in the queue starts.
+// release removes a request that has ended from its cache. If this frees a slot, the next request in the queue starts.
 func (w *World) release(r *openRequest) {
 	m := r.cache
 	r.ended = true
-	rejected := m.open[r.ID] != r // it had neither a slot nor a place in the queue
+	rejected := m.open[r.ID] != r // the request was neither in a slot nor in the queue
 	if rejected {
 		return
 	}
@@ -221,8 +222,8 @@
 	}
 }
 
-// loseOpenRequests ends all open requests of a cache that went down, with a response that they are Lost. It ends the
-// revalidations as well.
+// loseOpenRequests ends all open requests of a cache that went down, with Lost as the status of their responses. It also ends
+// the revalidations of the cache.
 func (w *World) loseOpenRequests(m *machine) {
 	for _, r := range m.openInOrder() {
 		if r.job != nil {
@@ -239,7 +240,7 @@
 	w.scheduleCompletion(m)
 }
 
-// openInOrder returns the open requests in the order of their ids, so that every run handles them in the same order.
+// openInOrder returns the open requests in the order of their ids, so that the order is the same in every run.
 func (c *cacheServer) openInOrder() (open []*openRequest) {
 	ids := make([]uint64, 0, len(c.open))
 	for id := range c.open {
--- a/internal/simulation/cache_server_test.go
+++ b/internal/simulation/cache_server_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSlotsQueueAndCancel submits more requests than slots and queue hold. Those beyond are rejected, a canceled request
-// leaves its slot to the next one in the queue, and the responses share the cores.
+// TestSlotsQueueAndCancel submits more requests than the slots and the queue hold. The excess requests must be rejected, a
+// canceled request must free its slot for the next request in the queue, and the responses must share the cores.
 func TestSlotsQueueAndCancel(t *testing.T) {
 	const canceled = 1
 	w, cache, _, _ := newTestWorld(t)
@@ -21,19 +21,19 @@
 		}
 	}
 	if rejected != 2 {
-		t.Errorf("%d of 8 requests rejected, want 2 with 4 slots and a queue of 2", rejected)
+		t.Errorf("rejected requests out of 8: got %d, want 2 with 4 slots and a queue of 2", rejected)
 	}
 
 	w.Cancel(cache, canceled)
 	if m := w.machines[cache]; m.active != 4 || len(m.queue) != 1 {
-		t.Errorf("after the cancellation: %d in slots, %d in the queue, want 4 and 1", m.active, len(m.queue))
+		t.Errorf("after the cancellation: got %d requests in slots and %d in the queue, want 4 and 1", m.active, len(m.queue))
 	}
 
 	// Four responses share two cores, so that 0.1 s of work takes 0.2 s.
 	checkNear(t, "a response on shared cores", awaitResponse(t, w, 2, time.Second).At, 200*time.Millisecond)
 	for _, response := range w.Advance(time.Minute) {
 		if response.ID == canceled {
-			t.Error("a response to a canceled request")
+			t.Error("got a response to a canceled request, want none")
 		}
 	}
 }
--- a/internal/simulation/cores.go
+++ b/internal/simulation/cores.go
@@ -11,22 +11,22 @@
 // times to nanoseconds.
 const completionTolerance = 1e-9
 
-// job is work on the cores of a cache. Its key is the value of cores.attained at which the job is done.
+// job is a piece of work on the cores of a cache. Its key is the value of cores.attained at which the job is done.
 type job = queued[float64]
 
-// cores models the processor cores of a cache by processor sharing: all jobs share the cores evenly, and a job uses at
-// most one core. All jobs run at the same rate, so a job ends when the attained service reaches a value that is known
-// when the job starts.
+// cores models the processor cores of a cache by processor sharing: all jobs share the cores evenly, and a job uses at most
+// one core. All jobs run at the same rate. A job therefore ends when the attained service reaches a value that is known when
+// the job starts.
 type cores struct {
 	count     float64       // number of cores
 	speed     float64       // share of full speed, 0 to 1; less than 1 in slow start
-	attained  float64       // core seconds that a job would have had if it had run since the world began
-	settledAt time.Duration // time up to which attained and busy count
+	attained  float64       // core seconds that a job would have received if it had run since the world began
+	settledAt time.Duration // time up to which attained and busy are counted
 	jobs      priorityQueue[float64]
 	busy      float64 // core seconds used so far
 }
 
-// rate returns the core seconds that each job gets in a second.
+// rate returns the core seconds that each job receives in a second.
 func (c *cores) rate() float64 {
 	if len(c.jobs) == 0 {
 		return 0
@@ -34,8 +34,8 @@
 	return c.speed * min(1, c.count/float64(len(c.jobs)))
 }
 
-// settle adds the work done until now to the totals. It must run before each change of the jobs or the speed, on which
-// the rate depends.
+// settle adds the work done up to now to attained and busy. It must be called before each change of the jobs or the speed,
+// because the rate depends on them.
 func (c *cores) settle(now time.Duration) {
 	work := c.rate() * (now - c.settledAt).Seconds()
 	c.attained += work
@@ -49,7 +49,7 @@
 	c.speed = speed
 }
 
-// add starts a job of work core seconds. The caller of takeDone calls done when the job has ended.
+// add starts a job that takes the given work in core seconds. When the job is done, the caller of takeDone calls done.
 func (c *cores) add(now time.Duration, work float64, done func()) *job {
 	c.settle(now)
 	added := &job{key: c.attained + work, run: done}
@@ -57,13 +57,14 @@
 	return added
 }
 
-// remove cancels a job. It ignores a job that is done already.
+// remove cancels a job. It ignores a job that is done.
 func (c *cores) remove(now time.Duration, canceled *job) {
 	c.settle(now)
 	c.jobs.remove(canceled)
 }
 
-// nextCompletion returns when the next job will be done if nothing changes. It returns false if there is no job.
+// nextCompletion returns the time at which the next job will be done if the jobs and the speed do not change before. It
+// returns false if there is no job.
 func (c *cores) nextCompletion() (time.Duration, bool) {
 	if len(c.jobs) == 0 {
 		return 0, false
@@ -81,8 +82,8 @@
 	return done
 }
 
-// durationOf returns a duration that exceeds a number of seconds by at most 2 ns. Work that takes these seconds is
-// therefore done when the duration has passed.
+// durationOf converts seconds to a duration, rounded up by at most 2 ns. Work that takes this number of seconds is therefore
+// done when the duration has passed.
 func durationOf(seconds float64) time.Duration {
 	return time.Duration(math.Ceil(max(0, seconds)*1e9)) + 1
 }
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -1,6 +1,7 @@
 package simulation
 
-// Cache fills: from the request of a cache until the segment arrives from a parent or the origin, or the fill fails.
+// Cache fills. A fill begins with the request of a cache for a segment. It ends when the segment has arrived from a parent or
+// the origin, or when the fill fails.
 
 import (
 	"slices"
@@ -11,7 +12,7 @@
 )
 
 const (
-	// noSource is the FillSource of a request whose miss nothing fills. No machine has this id.
+	// noSource is the FillSource of a request whose miss no machine fills. No machine has this id.
 	noSource = 0
 	// WriteBytes is the size of the response to a write on a link, in bytes.
 	WriteBytes = 200
@@ -22,16 +23,16 @@
 // fill is a cache fill: a request of a cache for one segment, and its transfer from a parent or the origin.
 type fill struct {
 	cache    *machine
-	source   *machine     // nil: an id that no machine has
-	waiting  *openRequest // nil: a revalidation, or its request was canceled or lost
-	request  Request      // names the segment
+	source   *machine     // nil: the FillSource of the request is not the id of a machine
+	waiting  *openRequest // request that waits for the fill; nil: a revalidation, or that request was canceled or lost
+	request  Request      // request for the segment
 	transfer *transfer    // nil: not begun
 	ended    bool
-	direct   bool // from the origin, which counts it among its fetches
+	direct   bool // sent by the origin, which counts the fill among its fetches
 }
 
 // originFetch is the fetch of one segment from the origin by a parent. All fills of that segment from the parent wait for
-// it.
+// this fetch.
 type originFetch struct {
 	segment  segment
 	transfer *transfer // nil: not begun
@@ -39,21 +40,21 @@
 	ended    bool
 }
 
-// settleFetches adds the time that fetches were in flight until now to the total. It must run before each change of their
-// number.
+// settleFetches adds the time that fetches were in flight, up to now, to fetchSeconds. It must be called before each change
+// of the number of fetches.
 func (u *upstream) settleFetches(now time.Duration) {
 	u.fetchSeconds += float64(u.fetches) * (now - u.fetchesSettledAt).Seconds()
 	u.fetchesSettledAt = now
 }
 
-// addFetches changes the number of fetches in flight by change, which may be negative.
+// addFetches adds change, which may be negative, to the number of fetches in flight.
 func (u *upstream) addFetches(now time.Duration, change int) {
 	u.settleFetches(now)
 	u.fetches += change
 }
 
-// startFill sends the request for a segment to its source. It arrives there after one hop, and one more for each step
-// between the hubs.
+// startFill sends the request of a fill to its source. The request arrives after one hop, plus one more hop for each step
+// between the hubs of the cache and the source.
 func (w *World) startFill(f *fill) {
 	if f.source == nil || f.source.Role == topology.Cache {
 		w.failFill(f, routing.SourceUnreachable)
@@ -70,7 +71,7 @@
 // handleFill handles the arrival of a fill at its source.
 func (w *World) handleFill(f *fill) {
 	switch {
-	case f.ended: // its source went down meanwhile
+	case f.ended: // the source has gone down since the fill started
 	case !f.source.isUp():
 		w.failFill(f, routing.SourceUnreachable)
 	case f.source.Role == topology.OriginRole:
@@ -80,8 +81,8 @@
 	}
 }
 
-// fillFromOrigin sends a segment from the origin directly to the cache. It fails the fill if the origin is at its limit
-// of fetches.
+// fillFromOrigin sends a segment from the origin directly to the cache. The fill fails if the origin is at its limit of
+// fetches.
 func (w *World) fillFromOrigin(f *fill) {
 	origin := f.source
 	if origin.fetches >= origin.maxFetches {
@@ -104,8 +105,8 @@
 	})
 }
 
-// fillFromParent sends a segment from the memory of a parent. On a miss there the parent fetches it, unless the fill asks
-// for a cached copy only. A parent in slow start that is overloaded by the fill goes down.
+// fillFromParent sends a segment from the memory of a parent. On a miss the parent fetches the segment from the origin,
+// unless the request accepts a cached copy only. If the fill overloads a parent in slow start, the parent goes down.
 func (w *World) fillFromParent(f *fill) {
 	parent := f.source
 	parent.recentWork.Add(w.now, float64(f.request.Bytes))
@@ -127,8 +128,8 @@
 	}
 }
 
-// fetchForFill makes a fill wait for the fetch of its segment by its parent. It starts the fetch if none is in progress,
-// and fails the fill if the parent is at its limit of fetches.
+// fetchForFill makes a fill wait until its parent has fetched the segment from the origin. It starts the fetch if none is in
+// progress, and fails the fill if the parent is at its limit of fetches.
 func (w *World) fetchForFill(f *fill) {
 	parent, wanted := f.source, f.request.segment()
 	if inProgress := parent.fetching[wanted]; inProgress != nil {
@@ -153,12 +154,13 @@
 	})
 }
 
-// afterOriginLatency schedules do for the time when the origin starts to send a response to a request of now.
+// afterOriginLatency schedules do for the time at which the origin starts to send the response to a request that it receives
+// now.
 func (w *World) afterOriginLatency(do func()) {
 	w.schedule(w.now+w.description.Origin.Latency.Duration(), do)
 }
 
-// endFetch caches a segment that a parent has fetched and sends it to all fills that wait for it.
+// endFetch caches a segment that a parent has fetched, and sends the segment to the caches of all fills that wait for it.
 func (w *World) endFetch(parent *machine, fetch *originFetch, bytes float64, born time.Duration) {
 	parent.addFetches(w.now, -1)
 	delete(parent.fetching, fetch.segment)
@@ -169,7 +171,7 @@
 	}
 }
 
-// sendFill starts the transfer of a segment from a parent, which has it, to the cache of a fill.
+// sendFill starts the transfer of a segment from a parent that has it to the cache of a fill.
 func (w *World) sendFill(f *fill, born time.Duration) {
 	if f.ended {
 		return
@@ -181,8 +183,8 @@
 // failFill ends a fill that did not get the segment.
 func (w *World) failFill(f *fill, result routing.Fill) { w.endFill(f, result, 0) }
 
-// endFill ends a fill with a result. If the segment arrived, the cache keeps it and responds to the request that waits
-// for it. It ignores a fill that has ended.
+// endFill ends a fill with a result. If the segment arrived, the cache stores it unless it is the response to a write. The
+// request that waits for the fill continues. endFill ignores a fill that has ended.
 func (w *World) endFill(f *fill, result routing.Fill, born time.Duration) {
 	if f.ended {
 		return
@@ -202,8 +204,8 @@
 	}
 }
 
-// resume continues a request whose fill has ended: it sends the segment if that arrived, and responds with the failure
-// if not.
+// resume continues a request whose fill has ended. It sends the segment if the segment arrived, and otherwise responds with
+// the failure.
 func (w *World) resume(r *openRequest, arrived bool, result routing.Fill, born time.Duration) {
 	r.cacheStatus = result
 	r.waited = w.now - r.fillStartedAt
@@ -218,8 +220,8 @@
 	}
 }
 
-// abandonFill ends the fill of a request that was lost with its cache. It ignores nil and a fill that has ended. A fill
-// whose transfer has not begun goes on, but no request waits for it.
+// abandonFill ends the fill of a request that was lost with its cache. If the transfer has not begun the fill continues, but
+// no request waits for it. abandonFill ignores nil and a fill that has ended.
 func (w *World) abandonFill(f *fill) {
 	if f == nil || f.ended {
 		return
@@ -235,8 +237,9 @@
 	}
 }
 
-// failParent ends all transfers and fetches of a parent that went down. The fills that requests wait for fail last: the
-// end of a request starts the next one in the queue, which must not meet transfers or fetches of the parent.
+// failParent ends all transfers and fetches of a parent that went down. The fills that requests wait for must fail last,
+// because the end of a request starts the next request in the queue, and that request must not find transfers or fetches of
+// the parent that are still in progress.
 func (w *World) failParent(parent *machine) {
 	for _, sent := range slices.Clone(w.network.transfers) {
 		if sent.crosses(parent.outbound) {
@@ -255,8 +258,8 @@
 	}
 }
 
-// endFillsFrom ends the revalidations from a parent. It returns the fills from the parent that requests wait for, which
-// have not ended.
+// endFillsFrom ends the revalidations from a parent. It returns the fills from the parent that have not ended and that
+// requests wait for.
 func (w *World) endFillsFrom(parent *machine) (waiting []*fill) {
 	for _, cache := range w.machineList {
 		for _, r := range cache.openInOrder() {
--- a/internal/simulation/fill_test.go
+++ b/internal/simulation/fill_test.go
@@ -7,17 +7,18 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// TestFillsAndHits submits one request after the other to a cache: fills by a parent and by the origin, hits, misses that
-// nothing fills, and a write.
+// TestFillsAndHits submits requests to a cache one after another: fills by a parent and by the origin, a hit, misses that no
+// machine fills, and a write.
 func TestFillsAndHits(t *testing.T) {
 	w, cache, parent, origin := newTestWorld(t)
 	w.Submit(cache, Request{ID: 1, Object: 7, Bytes: 10000, FillSource: parent, Rank: 2})
 	response := awaitResponse(t, w, 1, time.Second)
-	// A hop, the latency of the origin, origin to parent at 1 MB/s, parent to cache at 500 KB/s, sending at 100 KB/s.
+	// One hop, the latency of the origin, then 10 KB from origin to parent at 1 MB/s, from parent to cache at 500 KB/s, and to
+	// the client at 100 KB/s.
 	checkNear(t, "a fill through the parent", response.At, (1+10+10+20+100)*time.Millisecond)
 	checkEnd(t, "a fill through the parent", response, Served, routing.Filled)
 	if want := 40 * time.Millisecond; response.Waited < want {
-		t.Errorf("a fill through the parent: waited %v for it, want at least %v", response.Waited, want)
+		t.Errorf("a fill through the parent: got a wait of %v, want at least %v", response.Waited, want)
 	}
 
 	submitted := w.now
@@ -44,21 +45,21 @@
 		t.Errorf("a write: got status %d, want %d", response.Status, Served)
 	}
 	if w.machines[cache].memory.get(segment{9, 0}) != nil {
-		t.Error("a write: its response is cached")
+		t.Error("a write: got a cached response, want none")
 	}
 }
 
-// checkEnd fails the test if a response has another status or cache status than wanted.
-func checkEnd(t *testing.T, what string, got Response, wantStatus Status, wantFill routing.Fill) {
+// checkEnd fails the test if a response does not have the wanted status and cache status.
+func checkEnd(t *testing.T, name string, got Response, wantStatus Status, wantFill routing.Fill) {
 	t.Helper()
 	if got.Status != wantStatus || got.Fill != wantFill {
-		t.Errorf("%s: got status %d and cache status %v, want %d and %v", what, got.Status, got.Fill, wantStatus, wantFill)
+		t.Errorf("%s: got status %d and cache status %v, want %d and %v", name, got.Status, got.Fill, wantStatus, wantFill)
 	}
 }
 
-// TestParentDownFailsItsFills kills a parent that serves fills. The requests that wait for them fail, and nothing of them
-// is left.
-func TestParentDownFailsItsFills(t *testing.T) {
+// TestParentFailureFailsFills kills a parent that serves fills. The requests that wait for these fills must fail, and no open
+// request or transfer may remain.
+func TestParentFailureFailsFills(t *testing.T) {
 	w, cache, parent, _ := newTestWorld(t)
 	for i := range uint64(3) {
 		w.Submit(cache, Request{ID: i + 1, Object: i, Bytes: 20000, FillSource: parent, Rank: 2})
@@ -72,24 +73,24 @@
 		}
 	}
 	if failed == 0 {
-		t.Error("no request failed")
+		t.Error("got no failed request, want at least one")
 	}
 	if open := len(w.machines[cache].open); open > 0 {
-		t.Errorf("%d open requests left, want none", open)
+		t.Errorf("got %d open requests after the failure, want none", open)
 	}
 	if transfers := len(w.network.transfers); transfers > 0 {
-		t.Errorf("%d transfers left, want none", transfers)
+		t.Errorf("got %d transfers after the failure, want none", transfers)
 	}
 }
 
-// TestBackgroundRevalidation sends hits on a copy past half of its lifetime. They start one revalidation in the
-// background, however many they are. It ends also if the parent goes down during it.
+// TestBackgroundRevalidation sends several hits on a copy that is past half of its lifetime. Together they must start a single
+// revalidation in the background. The revalidation must also end if the parent goes down during it.
 func TestBackgroundRevalidation(t *testing.T) {
 	w, cache, parent, _ := newTestWorld(t)
-	checkRevalidations := func(when string, want int) {
+	checkRevalidations := func(condition string, want int) {
 		t.Helper()
 		if got := len(w.machines[cache].revalidations); got != want {
-			t.Errorf("%s: %d revalidations in progress, want %d", when, got, want)
+			t.Errorf("%s: got %d revalidations in progress, want %d", condition, got, want)
 		}
 	}
 	w.Insert(cache, 5, 0, 1000, 2, 0)
@@ -101,7 +102,7 @@
 	w.Advance(1600 * time.Millisecond)
 	checkRevalidations("after 100 ms", 0)
 	if born := w.machines[cache].memory.get(segment{5, 0}).born; born < 1500*time.Millisecond {
-		t.Errorf("the copy is of %v, want one since 1.5 s", born)
+		t.Errorf("got a copy that the origin sent at %v, want 1.5 s or later", born)
 	}
 
 	w.Advance(3100 * time.Millisecond)
--- a/internal/simulation/helpers_test.go
+++ b/internal/simulation/helpers_test.go
@@ -23,7 +23,7 @@
 parentCold: {floor: 50%, ramp: 4s, multiple: 2, window: 1s}
 `
 
-// newTestWorld returns the machines of the sample topology, and the ids of its first cache, its parent and its origin.
+// newTestWorld returns a world with the machines of sampleTopology, and the ids of its first cache, its parent and its origin.
 func newTestWorld(t *testing.T) (w *World, cache, parent, origin uint32) {
 	t.Helper()
 	description, err := topology.Parse("test", []byte(sampleTopology))
@@ -34,7 +34,8 @@
 	return New(description), machines[0].ID, machines[3].ID, machines[4].ID
 }
 
-// awaitResponse advances the world until the response to a request comes. It fails the test after the time within.
+// awaitResponse advances the world until it returns the response to a request. It fails the test if there is none within the
+// given time.
 func awaitResponse(t *testing.T, w *World, id uint64, within time.Duration) Response {
 	t.Helper()
 	for until := w.now + within; w.now < until; {
@@ -44,7 +45,7 @@
 			}
 		}
 	}
-	t.Fatalf("no response to request %d within %v", id, within)
+	t.Fatalf("got no response to request %d within %v", id, within)
 	return Response{}
 }
 
@@ -52,9 +53,9 @@
 const nearTolerance = 3 * time.Millisecond
 
 // checkNear fails the test if a time differs from the wanted one by more than nearTolerance.
-func checkNear(t *testing.T, what string, got, want time.Duration) {
+func checkNear(t *testing.T, name string, got, want time.Duration) {
 	t.Helper()
 	if difference := (got - want).Abs(); difference > nearTolerance {
-		t.Errorf("%s: took %v, want %v", what, got, want)
+		t.Errorf("%s: got %v, want %v", name, got, want)
 	}
 }
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Machines: states, slow start, overload and failure.
+// Machines: states, slow start, overload and failures.
 
 import (
 	"time"
@@ -10,14 +10,14 @@
 )
 
 const (
-	slowStartSteps      = 40               // steps in which capacity grows to full
+	slowStartSteps      = 40               // number of steps in which the capacity grows to its full value
 	minSlowStartStep    = time.Millisecond // shortest time between two steps
-	recentWorkBuckets   = 10               // buckets of the window over which overload is measured
-	minRecentWorkBucket = time.Millisecond // shortest time that a bucket covers
+	recentWorkBuckets   = 10               // number of buckets of the window over which overload is measured
+	minRecentWorkBucket = time.Millisecond // shortest time span of a bucket
 )
 
-// machineState says whether a machine serves. Machines begin up. Kill takes a machine down, Restart starts it in slow
-// start, and the end of slow start brings it up. Only World.setState changes a state.
+// machineState is the state of a machine. A machine is up when the world begins. World.Kill takes it down, World.Restart puts
+// it into slow start, and it is up again at the end of slow start. Only World.setState changes the state.
 type machineState uint8
 
 const (
@@ -30,30 +30,30 @@
 type machine struct {
 	topology.Machine
 	state      machineState
-	restarted  bool          // since the world began; a machine that never restarted is warm
-	startedAt  time.Duration // time of the last restart; meaningless without one
+	restarted  bool          // the machine has restarted since the world began; until then it is warm
+	startedAt  time.Duration // time of the last restart; valid if restarted
 	slowStart  topology.SlowStart
 	recentWork routing.Ring // work requested within the overload window: core seconds of a cache, bytes of a parent
-	failures   int          // number of times that it went down
-	memory     *cacheMemory // nil: the origin, which has everything
+	failures   int          // number of times that the machine went down
+	memory     *cacheMemory // nil for the origin, which has every object
 
-	cacheServer // of a cache
-	upstream    // of a parent or the origin
+	cacheServer // for a cache
+	upstream    // for a parent or the origin
 }
 
 // upstream is the part of a parent or the origin that serves fills.
 type upstream struct {
 	outbound         *link
 	linkRate         float64 // bytes a second of outbound outside slow start
-	fetches          int     // fetches from the origin in flight
+	fetches          int     // number of fetches from the origin in flight
 	maxFetches       int
-	fetching         map[segment]*originFetch // in progress; of a parent
-	fetchSeconds     float64                  // sum over fetches of their time in flight so far
-	fetchesSettledAt time.Duration            // time up to which fetchSeconds counts
+	fetching         map[segment]*originFetch // fetches in progress of a parent; nil for the origin
+	fetchSeconds     float64                  // total time in flight of all fetches so far
+	fetchesSettledAt time.Duration            // time up to which fetchSeconds is counted
 }
 
-// newMachine makes a machine that is up, with an empty memory. It adds the outbound link of a parent or the origin to the
-// network.
+// newMachine returns a machine that is up and has an empty memory. For a parent or the origin it adds the outbound link to
+// the network.
 func (w *World) newMachine(listed topology.Machine) *machine {
 	m := &machine{Machine: listed}
 	switch m.Role {
@@ -83,11 +83,11 @@
 	m.recentWork = routing.NewRing(bucket, recentWorkBuckets)
 }
 
-// isUp reports whether a machine serves. A machine in slow start does.
+// isUp reports whether a machine serves requests or fills. A machine in slow start does.
 func (m *machine) isUp() bool { return m.state != machineDown }
 
-// setState changes the state of a machine. It counts failures, begins the time of a slow start, and notes the change for
-// Changed; the end of slow start is no change there.
+// setState changes the state of a machine. It counts failures, sets the start time of a slow start, and adds the machine to
+// the list that Changed returns, except at the end of slow start.
 func (w *World) setState(m *machine, next machineState) {
 	m.state = next
 	switch next {
@@ -102,8 +102,8 @@
 	}
 }
 
-// Up reports whether a machine serves, whether it has restarted since the world began, and the time of its last restart.
-// An unknown machine is down.
+// Up reports whether a machine is up (also in slow start), whether it has restarted since the world began, and the time of
+// its last restart. An unknown machine is down.
 func (w *World) Up(node uint32) (up, restarted bool, startedAt time.Duration) {
 	m := w.machines[node]
 	if m == nil {
@@ -112,8 +112,8 @@
 	return m.isUp(), m.restarted, m.startedAt
 }
 
-// Kill takes a cache or parent down at once. Its open requests are lost and its memory is emptied. Kill ignores a machine
-// that is down, the origin and an unknown machine.
+// Kill takes a cache or parent down at once. Its memory is emptied. The open requests of a cache are lost, and the fills from
+// a parent fail. Kill ignores a machine that is down, the origin and an unknown machine.
 func (w *World) Kill(node uint32) {
 	m := w.machines[node]
 	if m == nil || !m.isUp() || m.Role == topology.OriginRole {
@@ -128,8 +128,8 @@
 	}
 }
 
-// Restart starts a machine that is down, in slow start and with an empty memory. It ignores a machine that is up and an
-// unknown machine.
+// Restart starts a machine that is down. The machine begins in slow start, with an empty memory. Restart ignores a machine
+// that is up and an unknown machine.
 func (w *World) Restart(node uint32) {
 	m := w.machines[node]
 	if m == nil || m.isUp() {
@@ -140,8 +140,8 @@
 }
 
 // stepSlowStart sets the capacity of a machine in slow start to its current share, and schedules the next step until the
-// machine is warm. The parameter startedAt is the restart that the steps belong to: they end if the machine has gone down
-// or restarted since.
+// machine is warm. The parameter startedAt identifies the restart to which the step belongs. If the machine has gone down or
+// restarted since then, stepSlowStart does nothing.
 func (w *World) stepSlowStart(m *machine, startedAt time.Duration) {
 	if !m.isUp() || m.startedAt != startedAt {
 		return
@@ -162,8 +162,8 @@
 }
 
 // capacityShare returns the share of its full capacity that a machine has now, 0 to 1. In slow start the share grows
-// linearly from the floor. It depends on the time since the restart, not on the state, as the state changes only with the
-// next step.
+// linearly from the floor. It is computed from the time since the restart and not from the state, because the state changes
+// only with the next step.
 func (w *World) capacityShare(m *machine) float64 {
 	ramp := m.slowStart.Ramp
 	if !m.restarted || w.now-m.startedAt >= ramp.Duration() {
@@ -174,9 +174,9 @@
 	return floor + (1-floor)*elapsed.Seconds()/ramp.Seconds()
 }
 
-// overloaded reports whether the work requested of a machine in slow start within the window exceeds a multiple of what
-// it can do. It is false during the first window after the restart. The parameter capacity is the work that the machine
-// does in a second when warm, in the unit of recentWork.
+// overloaded reports whether the work requested within the window from a machine in slow start exceeds OverloadMultiple times
+// the work that the machine can do in that time. It returns false during the first window after the restart. The parameter
+// capacity is the work that the warm machine does in a second, in the unit of recentWork.
 func (w *World) overloaded(m *machine, capacity float64) bool {
 	limits := &m.slowStart
 	if limits.OverloadMultiple == 0 || limits.Window == 0 {
@@ -186,26 +186,26 @@
 	if share == 1 || w.now-m.startedAt < limits.Window.Duration() {
 		return false
 	}
-	bearable := limits.OverloadMultiple * share * capacity * limits.Window.Seconds()
-	return m.recentWork.Sum(w.now) > bearable
+	maxWork := limits.OverloadMultiple * share * capacity * limits.Window.Seconds()
+	return m.recentWork.Sum(w.now) > maxWork
 }
 
-// failByOverload takes a machine down and schedules its restart after the down time of its slow start settings.
+// failByOverload takes a machine down and schedules its restart after the DownTime of its slow start settings.
 func (w *World) failByOverload(m *machine) {
 	w.Kill(m.ID)
 	w.schedule(w.now+m.slowStart.DownTime.Duration(), func() { w.Restart(m.ID) })
 }
 
-// Insert puts a copy into the memory of a cache or parent that is up, as if the origin had sent it at the time born.
+// Insert adds a copy to the memory of a cache or parent that is up, as if the origin had sent the copy at the time born.
 func (w *World) Insert(node uint32, object uint64, part uint32, bytes int, rank uint8, born time.Duration) {
 	if m := w.machines[node]; m != nil && m.isUp() && m.memory != nil {
 		m.memory.put(segment{object, part}, float64(bytes), rank, born)
 	}
 }
 
-// LimitLink multiplies the link rate and the maximum number of fetches of a parent or the origin by a factor. The factor
-// is less than 1 if machines outside this world use the rest, and more than 1 to undo that. At least one fetch at a time
-// remains possible.
+// LimitLink multiplies the link rate and the maximum number of fetches of a parent or the origin by a factor. A factor less
+// than 1 leaves the rest to machines outside this world, and a factor greater than 1 undoes that. The maximum number of
+// fetches remains at least 1.
 func (w *World) LimitLink(node uint32, factor float64) {
 	m := w.machines[node]
 	if m == nil || m.outbound == nil {
--- a/internal/simulation/machine_test.go
+++ b/internal/simulation/machine_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestOverloadInSlowStart sends requests to a cache in slow start. It fails if they exceed the overload multiple, loses
-// what it had and restarts. It does not fail below the multiple.
+// TestOverloadInSlowStart sends requests to a cache in slow start. If their work exceeds the overload multiple, the cache must
+// fail, lose its open requests and restart. Below the multiple it must not fail.
 func TestOverloadInSlowStart(t *testing.T) {
 	for _, test := range []struct {
 		name         string
@@ -31,25 +31,25 @@
 				w.Submit(cache, Request{ID: i, Object: 1, Bytes: 10000})
 			}
 			if got := w.Failures() - 1; got != test.wantFailures { // one failure is the Kill above
-				t.Errorf("failed %d times, want %d", got, test.wantFailures)
+				t.Errorf("got %d failures by overload, want %d", got, test.wantFailures)
 			}
 			if wantLost := test.wantFailures > 0; (lost > 0) != wantLost {
-				t.Errorf("%d requests lost, want some: %t", lost, wantLost)
+				t.Errorf("got %d lost requests, want any lost: %t", lost, wantLost)
 			}
 			w.Advance(w.now + 2*time.Second)
 			if up, restarted, _ := w.Up(cache); !up || !restarted {
-				t.Errorf("up %t, restarted %t after the down time, want true and true", up, restarted)
+				t.Errorf("after the down time: got up %t and restarted %t, want true and true", up, restarted)
 			}
 		})
 	}
 }
 
-// TestMachineStates takes a machine through its states: up until it is killed, down until it restarts, and in slow start
-// for the ramp. Changed returns each of these changes but the end of the ramp.
+// TestMachineStates takes a machine through its states: up until it is killed, down until it restarts, in slow start during
+// the ramp, and up after it. Changed must return each of these changes except the end of the ramp.
 func TestMachineStates(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		parent bool // a cache if not
+		parent bool // otherwise a cache
 	}{
 		{name: "cache"},
 		{name: "parent", parent: true},
@@ -63,24 +63,24 @@
 				t.Helper()
 				m := w.machines[node]
 				if m.state != wantState {
-					t.Errorf("state %d, want %d", m.state, wantState)
+					t.Errorf("got state %d, want %d", m.state, wantState)
 				}
 				if share := w.capacityShare(m); share != wantShare {
-					t.Errorf("share of the capacity %g, want %g", share, wantShare)
+					t.Errorf("got a capacity share of %g, want %g", share, wantShare)
 				}
 				if changes := len(w.Changed()); changes != wantChanges {
-					t.Errorf("%d changes, want %d", changes, wantChanges)
+					t.Errorf("got %d changes, want %d", changes, wantChanges)
 				}
 			}
 			check(machineUp, 1, 0)
-			w.Restart(node) // ignored: it is up
+			w.Restart(node) // ignored, because the machine is up
 			check(machineUp, 1, 0)
 			w.Kill(node)
-			w.Kill(node) // ignored: it is down
+			w.Kill(node) // ignored, because the machine is down
 			check(machineDown, 1, 1)
 			w.Restart(node)
-			check(machineInSlowStart, 0.5, 1) // its floor
-			w.Advance(2 * time.Second)        // half of its ramp
+			check(machineInSlowStart, 0.5, 1) // at the floor
+			w.Advance(2 * time.Second)        // half of the ramp
 			check(machineInSlowStart, 0.75, 0)
 			w.Advance(5 * time.Second)
 			check(machineUp, 1, 0)
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Links, and the rates of transfers over them.
+// Links, and the rates of the transfers over them.
 
 import (
 	"math"
@@ -10,16 +10,16 @@
 
 const (
 	minTransferBytes = 1    // size of the smallest transfer
-	minTransferRate  = 1e-3 // bytes a second; a transfer over a full link still ends
+	minTransferRate  = 1e-3 // bytes a second; ensures that a transfer over a full link still ends
 	bytesTolerance   = 1e-6 // remaining bytes at which a transfer is complete; covers the rounding of times to nanoseconds
 )
 
-// network is the links of a topology and the transfers over them. Transfers share the links by max-min fairness: the rate
-// of a transfer could only rise if the rate of another one that is not higher fell.
+// network holds the links of a topology and the transfers over them. Transfers share the links by max-min fairness: to raise
+// the rate of a transfer, the rate of another transfer that is not faster would have to fall.
 type network struct {
 	links      []*link
 	transfers  []*transfer   // in the order in which they began
-	settledAt  time.Duration // time up to which the bytes moved are counted
+	settledAt  time.Duration // time up to which transferred bytes are counted
 	ratesStale bool          // a transfer or link has changed since rates were allocated
 }
 
@@ -27,10 +27,10 @@
 type link struct {
 	name       string
 	rate       float64 // bytes a second
-	moved      float64 // bytes so far
+	moved      float64 // bytes transferred so far
 	transfers  int     // in progress
-	unassigned float64 // during the allocation of rates: bytes a second not assigned to a transfer
-	unfixed    int     // during the allocation of rates: transfers whose rate is not fixed
+	unassigned float64 // bytes a second not yet assigned to a transfer; used by allocateRates
+	unfixed    int     // number of transfers whose rate is not fixed; used by allocateRates
 }
 
 // transfer moves bytes over one or two links.
@@ -38,8 +38,8 @@
 	links     [2]*link // the second may be nil
 	remaining float64  // bytes
 	rate      float64  // bytes a second
-	fixed     bool     // during the allocation of rates: its rate is final
-	done      func()   // called when it is complete
+	fixed     bool     // the rate is final; used by allocateRates
+	done      func()   // called when the transfer is complete
 	ended     bool     // complete or canceled
 }
 
@@ -61,7 +61,8 @@
 	return added
 }
 
-// settle adds the bytes moved until now to the totals. It must run before each change of rates.
+// settle adds the bytes transferred up to now to the counts of the links, and subtracts them from the remaining bytes of the
+// transfers. It must be called before each change of rates.
 func (n *network) settle(now time.Duration) {
 	seconds := (now - n.settledAt).Seconds()
 	n.settledAt = now
@@ -77,7 +78,8 @@
 	}
 }
 
-// begin starts a transfer over one or two different links. The caller of takeComplete calls done when it is complete.
+// begin starts a transfer over one or two different links. When the transfer is complete, the caller of takeComplete calls
+// done.
 func (n *network) begin(now time.Duration, bytes float64, done func(), via ...*link) *transfer {
 	n.settle(now)
 	begun := &transfer{remaining: max(bytes, minTransferBytes), done: done}
@@ -90,7 +92,7 @@
 	return begun
 }
 
-// cancel ends a transfer before it is complete. It ignores nil and a transfer that has ended.
+// cancel ends a transfer that is not complete. It ignores nil and a transfer that has ended.
 func (n *network) cancel(now time.Duration, canceled *transfer) {
 	if canceled == nil || canceled.ended {
 		return
@@ -116,8 +118,9 @@
 	n.ratesStale = true
 }
 
-// allocateRates gives each transfer its rate by progressive filling. It takes the link with the smallest rate for each of
-// its transfers, fixes the rate of these transfers, and repeats that with what is left of the other links.
+// allocateRates sets the rate of each transfer by progressive filling. It selects the link that can give the smallest rate to
+// each of its unfixed transfers and fixes the rate of these transfers at that. It repeats this with the unassigned rates of
+// the other links until all transfers have their rate.
 func (n *network) allocateRates() {
 	n.ratesStale = false
 	used := n.beginAllocation()
@@ -130,7 +133,7 @@
 	}
 }
 
-// beginAllocation marks all rates as not fixed and returns the links that carry a transfer.
+// beginAllocation marks the rates of all transfers as not fixed and returns the links that carry a transfer.
 func (n *network) beginAllocation() (used []*link) {
 	for _, l := range n.links {
 		if l.transfers > 0 {
@@ -144,8 +147,8 @@
 	return used
 }
 
-// bottleneck returns the link with the smallest rate for each of its unfixed transfers, and that rate. The link is nil if
-// no link has an unfixed transfer.
+// bottleneck returns the link that can give the smallest rate to each of its unfixed transfers, and that rate. The link is
+// nil if no link has an unfixed transfer.
 func bottleneck(used []*link) (narrowest *link, fairShare float64) {
 	fairShare = math.Inf(1)
 	for _, l := range used {
@@ -159,7 +162,7 @@
 	return narrowest, fairShare
 }
 
-// fixRates fixes the rate of the unfixed transfers of a link at fairShare and returns their number.
+// fixRates fixes the rate of the unfixed transfers over a link at fairShare and returns the number of these transfers.
 func (n *network) fixRates(narrowest *link, fairShare float64) (fixed int) {
 	for _, t := range n.transfers {
 		if t.fixed || !t.crosses(narrowest) {
@@ -176,8 +179,8 @@
 	return fixed
 }
 
-// nextCompletion returns when the next transfer will be complete if nothing changes. It returns false if there is no
-// transfer.
+// nextCompletion returns the time at which the next transfer will be complete if no transfer or link changes before. It
+// returns false if there is no transfer.
 func (n *network) nextCompletion() (time.Duration, bool) {
 	if n.ratesStale {
 		n.allocateRates()
--- a/internal/simulation/network_test.go
+++ b/internal/simulation/network_test.go
@@ -25,9 +25,10 @@
 	return n
 }
 
-// TestRatesAreMaxMinFair allocates the rates of random networks. No link carries more than its rate. Each transfer crosses
-// a full link on which no transfer is faster, so that its rate could only rise at the cost of one that is not faster.
-func TestRatesAreMaxMinFair(t *testing.T) {
+// TestAllocateRatesMaxMinFair allocates the rates of random networks. No link may carry more than its rate. Each transfer must
+// cross a full link on which no other transfer is faster: to raise its rate, a transfer that is not faster would have to slow
+// down.
+func TestAllocateRatesMaxMinFair(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	for range 300 {
 		n := randomNetwork(random)
@@ -41,7 +42,7 @@
 		}
 		for l, rate := range used {
 			if rate > l.rate*1.0001 {
-				t.Fatalf("transfers use %g of a link with a rate of %g", rate, l.rate)
+				t.Fatalf("sum of the rates on a link: got %g, want at most %g", rate, l.rate)
 			}
 		}
 		for _, transfer := range n.transfers {
@@ -54,7 +55,7 @@
 				}
 			}
 			if !limited {
-				t.Fatalf("a transfer with a rate of %g could have more", transfer.rate)
+				t.Fatalf("transfer with a rate of %g: got no full link on which it is the fastest, want one", transfer.rate)
 			}
 		}
 	}
--- a/internal/simulation/priority_queue.go
+++ b/internal/simulation/priority_queue.go
@@ -18,14 +18,14 @@
 	run      func() // called by the owner of the queue when the item is due
 }
 
-// priorityQueue is a binary heap whose items know their position, so that any item can be removed. It holds the events of
-// a world and the jobs on the cores of a cache.
+// priorityQueue is a binary heap that stores in each item its position, so that any item can be removed. It holds the events
+// of a world and the jobs on the cores of a cache.
 type priorityQueue[K cmp.Ordered] []*queued[K]
 
-// insert adds an item that is in no queue.
+// insert adds an item, which must not be in a queue.
 func (q *priorityQueue[K]) insert(item *queued[K]) { heap.Push(q, item) }
 
-// remove takes an item out of the queue. It ignores nil and an item that has left the queue.
+// remove removes an item from the queue. It ignores nil and an item that has left the queue.
 func (q *priorityQueue[K]) remove(item *queued[K]) {
 	if item != nil && item.position != notQueued {
 		heap.Remove(q, item.position)
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -1,6 +1,6 @@
 package simulation
 
-// Utilization of the limits of a world, from the difference between two snapshots of its counters.
+// Utilization of the limits of a world, computed from two snapshots of its counters.
 
 import (
 	"time"
@@ -8,7 +8,7 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// Names of limits in Use.What.
+// Values of Use.What.
 const (
 	LimitCores   = "cores"   // of a cache
 	LimitLink    = "link"    // of a zone, a parent or the origin
@@ -20,8 +20,8 @@
 	Name string  // of the machine, or "zone " and the name of the zone
 	What string  // LimitCores, LimitLink or LimitFetches
 	Zone int     // of the machine or link
-	Kind int     // of a cache or parent
-	ID   uint32  // of the machine; 0: the link of a zone
+	Kind int     // kind of a cache, or group of a parent
+	ID   uint32  // of the machine; 0 for the link of a zone
 	Used float64 // mean utilization, 0 to 1
 }
 
@@ -51,8 +51,9 @@
 	return snapshot
 }
 
-// Uses returns the utilization of each limit since an earlier snapshot: first the links of zones, then machine by machine
-// the cores of caches, and the link and the fetches of parents and the origin. It returns nil if no time has passed.
+// Uses returns the utilization of each limit since an earlier snapshot. The links of zones come first. The limits of the
+// machines follow, in the order of the machines: the cores of a cache, or the link and the fetches of a parent or the origin.
+// Uses returns nil if no time has passed since the snapshot.
 func (w *World) Uses(since Snapshot) (uses []Use) {
 	current := w.Snapshot()
 	seconds := (current.at - since.at).Seconds()
@@ -84,8 +85,8 @@
 	return uses
 }
 
-// CachedBytes returns the size in bytes of all copies in the memory of a machine. It is 0 for the origin and for an
-// unknown machine, which have no memory.
+// CachedBytes returns the total size in bytes of the copies in the memory of a machine. It returns 0 for the origin, which has
+// no memory in the model, and for an unknown machine.
 func (w *World) CachedBytes(node uint32) float64 {
 	if m := w.machines[node]; m != nil && m.memory != nil {
 		return m.memory.used
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,10 +1,10 @@
 // Package simulation models the machines of a topology as a discrete-event simulation: caches with cores, slots, a queue
-// and memory, parents, the origin, and links that transfers share fairly. Machines fail, restart in slow start and fail by
-// overload during it.
+// and memory, parents, the origin, and links that transfers share fairly. Machines fail and restart in slow start. During
+// slow start they also fail by overload.
 //
-// The package opens no sockets and reads no clock. Callers pass the time, which never goes back, and events take place in
-// the order of their times. The emulator (internal/testing/emulator), which serves on sockets, and the simulated runs of
-// internal/capacity both use it, each with a clock of its own. A topology therefore means the same in both.
+// The package opens no sockets and reads no clock. Callers pass the time, which never goes back, and events run in the order
+// of their times. Both the emulator (internal/testing/emulator), which serves on sockets, and the simulated runs of
+// internal/capacity use the package, each with its own clock. A topology therefore behaves the same in both.
 //
 // A World is not safe for concurrent use.
 package simulation
@@ -15,18 +15,18 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// event is a function that runs at a time of the world. Its key is that time. Events of equal times run in the order in
-// which they were scheduled.
+// event is a function that runs at a time of the world. The key of the queued item is that time. Events with equal times run
+// in the order in which they were scheduled.
 type event = queued[time.Duration]
 
-// World is the state of all machines of a topology at one time. Calls let its time pass.
+// World is the state of all machines of a topology at the current time of the simulation, which Advance moves forward.
 type World struct {
 	description  *topology.Topology
 	now          time.Duration
 	events       priorityQueue[time.Duration]
 	lastSequence uint64              // sequence number of the last event scheduled
 	machines     map[uint32]*machine // by id
-	machineList  []*machine          // in the order of topology.Topology.Machines: the origin last
+	machineList  []*machine          // in the order of topology.Topology.Machines, which has the origin last
 	network      network
 	zoneLinks    []*link // by zone
 	transferEnd  *event  // completion of the next transfer; nil: none scheduled
@@ -36,8 +36,8 @@
 	changed           []uint32   // ids of the machines that went down or restarted since the last Changed
 }
 
-// New returns the machines of a topology, all up and with empty memories, at time 0. It keeps the description, which must
-// not change afterwards.
+// New returns a world at time 0 with the machines of a topology, all of them up and with empty memories. The world refers to
+// the description, which must not change afterwards.
 func New(description *topology.Topology) *World {
 	w := &World{description: description, machines: map[uint32]*machine{}}
 	for _, zone := range description.Zones {
@@ -54,7 +54,7 @@
 // origin returns the origin. Every topology has one.
 func (w *World) origin() *machine { return w.machineList[len(w.machineList)-1] }
 
-// schedule schedules do for a time, or for now if that time has passed.
+// schedule schedules do for the time at, or for the current time if at has passed.
 func (w *World) schedule(at time.Duration, do func()) *event {
 	w.lastSequence++
 	scheduled := &event{key: max(at, w.now), sequence: w.lastSequence, run: do}
@@ -62,8 +62,8 @@
 	return scheduled
 }
 
-// NextEvent returns the time of the next event, before which nothing happens unless the caller makes it happen. It returns
-// false if no event is scheduled.
+// NextEvent returns the time of the next event. Until then the world changes only by calls of its other methods. NextEvent
+// returns false if no event is scheduled.
 func (w *World) NextEvent() (time.Duration, bool) {
 	w.scheduleTransferEnd()
 	if len(w.events) == 0 {
@@ -72,8 +72,8 @@
 	return w.events.first().key, true
 }
 
-// scheduleTransferEnd schedules the completion of the next transfer if rates are stale. It runs once after all changes of
-// the same time, because the allocation of rates is expensive.
+// scheduleTransferEnd reschedules the completion of the next transfer if rates are stale. NextEvent calls it, so that it runs
+// once after all changes at the same time: the allocation of rates is expensive.
 func (w *World) scheduleTransferEnd() {
 	if !w.network.ratesStale {
 		return
@@ -85,7 +85,7 @@
 	}
 }
 
-// endTransfers ends the transfers that are complete and calls what waits for them.
+// endTransfers ends the transfers that are complete and calls their done functions.
 func (w *World) endTransfers() {
 	w.transferEnd = nil
 	w.network.ratesStale = true
@@ -94,8 +94,8 @@
 	}
 }
 
-// Advance runs all events up to a time and returns the responses since the last call, in their order. The slice is valid
-// until the next call. A time in the past runs nothing.
+// Advance runs all events up to the time now and returns the responses since the last call, in the order in which they were
+// sent. The slice is valid until the next call. If now is in the past, no event runs.
 func (w *World) Advance(now time.Duration) []Response {
 	for {
 		at, ok := w.NextEvent()
@@ -111,8 +111,8 @@
 	return responses
 }
 
-// Changed returns the ids of the machines that went down or restarted since the last call, in that order. Callers notify
-// directors of them.
+// Changed returns the ids of the machines that went down or restarted since the last call, in the order of these changes.
+// Callers notify directors of the changes.
 func (w *World) Changed() []uint32 {
 	changed := w.changed
 	w.changed = nil
--- a/internal/simulation/world_test.go
+++ b/internal/simulation/world_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// TestEachRequestHasOneResponse submits and cancels requests and kills and restarts machines in random order. Each request
-// that is not canceled has exactly one response, a canceled one has none, and the machines have nothing left over.
-func TestEachRequestHasOneResponse(t *testing.T) {
+// TestEveryRequestGetsOneResponse submits and cancels requests, and kills and restarts machines, in random order. Each request
+// that is not canceled must get exactly one response, and a canceled request none. At the end the machines must have no
+// requests, transfers, fetches or revalidations in progress.
+func TestEveryRequestGetsOneResponse(t *testing.T) {
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		w, _, parent, origin := newTestWorld(t)
@@ -19,7 +20,7 @@
 			t.Helper()
 			for _, response := range w.Advance(w.now + by) {
 				if _, ok := open[response.ID]; !ok {
-					t.Fatalf("seed %d: a response to request %d, which is not open", seed, response.ID)
+					t.Fatalf("seed %d: got a response to request %d, which is not open", seed, response.ID)
 				}
 				delete(open, response.ID)
 			}
@@ -42,7 +43,7 @@
 					OnlyIfCached: n%7 == 0,
 				})
 			case n < 95:
-				cancelOne(w, random, open)
+				cancelRandom(w, random, open)
 			case n < 98:
 				w.Kill(w.machineList[random.IntN(4)].ID)
 			default:
@@ -54,19 +55,19 @@
 		}
 
 		if len(open) > 0 || len(w.network.transfers) > 0 {
-			t.Fatalf("seed %d: %d requests and %d transfers left over, want none", seed, len(open), len(w.network.transfers))
+			t.Fatalf("seed %d: got %d requests and %d transfers in progress at the end, want none", seed, len(open), len(w.network.transfers))
 		}
 		for _, m := range w.machineList {
 			if m.active != 0 || len(m.queue) != 0 || m.fetches != 0 || len(m.revalidations) != 0 {
-				t.Fatalf("seed %d: %s has %d in slots, %d in the queue, %d fetches, %d revalidations left over, want none",
+				t.Fatalf("seed %d: at the end %s has %d requests in slots, %d in the queue, %d fetches and %d revalidations, want none",
 					seed, m.Name, m.active, len(m.queue), m.fetches, len(m.revalidations))
 			}
 		}
 	}
 }
 
-// cancelOne cancels a random one of the open requests, if there are any.
-func cancelOne(w *World, random *rand.Rand, open map[uint64]uint32) {
+// cancelRandom cancels a randomly chosen open request, if there is any.
+func cancelRandom(w *World, random *rand.Rand, open map[uint64]uint32) {
 	if len(open) == 0 {
 		return
 	}
