--- a/internal/simulation/cache_memory.go
+++ b/internal/simulation/cache_memory.go
@@ -44,10 +44,10 @@
 
 // touch makes a copy the most recently used copy of its rank. If the given rank is higher than the rank of the copy, it
 // becomes the rank of the copy.
-func (m *cacheMemory) touch(used *cachedCopy, rank uint8) {
-	m.byRank[used.rank].Remove(used.element)
-	used.rank = max(used.rank, min(rank, maxRank))
-	used.element = m.byRank[used.rank].PushFront(used)
+func (m *cacheMemory) touch(entry *cachedCopy, rank uint8) {
+	m.byRank[entry.rank].Remove(entry.element)
+	entry.rank = max(entry.rank, min(rank, maxRank))
+	entry.element = m.byRank[entry.rank].PushFront(entry)
 }
 
 // put caches a segment and replaces an older copy of it. The new copy gets the higher of its own rank and that of the older
@@ -63,9 +63,9 @@
 		return
 	}
 	m.evictFor(bytes)
-	added := &cachedCopy{segment: s, bytes: bytes, rank: rank, born: born}
-	added.element = m.byRank[rank].PushFront(added)
-	m.copies[s] = added
+	entry := &cachedCopy{segment: s, bytes: bytes, rank: rank, born: born}
+	entry.element = m.byRank[rank].PushFront(entry)
+	m.copies[s] = entry
 	m.used += bytes
 }
 
@@ -98,8 +98,8 @@
 }
 
 // remove removes a copy from the memory.
-func (m *cacheMemory) remove(removed *cachedCopy) {
-	m.byRank[removed.rank].Remove(removed.element)
-	delete(m.copies, removed.segment)
-	m.used -= removed.bytes
+func (m *cacheMemory) remove(entry *cachedCopy) {
+	m.byRank[entry.rank].Remove(entry.element)
+	delete(m.copies, entry.segment)
+	m.used -= entry.bytes
 }
--- a/internal/simulation/cache_server.go
+++ b/internal/simulation/cache_server.go
@@ -62,16 +62,16 @@
 		w.respondLost(node, request.ID)
 		return
 	}
-	opened := &openRequest{Request: request, cache: m}
+	newRequest := &openRequest{Request: request, cache: m}
 	switch {
 	case m.active < m.kind.Slots:
-		m.open[request.ID] = opened
-		w.start(opened)
+		m.open[request.ID] = newRequest
+		w.start(newRequest)
 	case len(m.queue) < m.kind.QueueLimit:
-		m.open[request.ID] = opened
-		m.queue = append(m.queue, opened)
+		m.open[request.ID] = newRequest
+		m.queue = append(m.queue, newRequest)
 	default:
-		w.respond(opened, Rejected)
+		w.respond(newRequest, Rejected)
 	}
 }
 
@@ -82,15 +82,15 @@
 	if m == nil || m.open[id] == nil {
 		return
 	}
-	canceled := m.open[id]
-	if canceled.job != nil {
-		m.cores.remove(w.now, canceled.job)
+	target := m.open[id]
+	if target.job != nil {
+		m.cores.remove(w.now, target.job)
 		w.scheduleCompletion(m)
 	}
-	if canceled.fill != nil {
-		canceled.fill.waiting = nil
+	if target.fill != nil {
+		target.fill.waiting = nil
 	}
-	w.release(canceled)
+	w.release(target)
 }
 
 // work returns the core seconds that the response to a request takes.
@@ -104,10 +104,10 @@
 	m := r.cache
 	m.active++
 	class := &w.description.Classes[r.Class]
-	found := m.memory.get(r.segment())
+	entry := m.memory.get(r.segment())
 	switch {
-	case !class.Write && found != nil && w.isFresh(found, class, &r.Request):
-		w.serveHit(r, class, found)
+	case !class.Write && entry != nil && w.isFresh(entry, class, &r.Request):
+		w.serveHit(r, class, entry)
 	case r.FillSource == noSource || r.FillSource == m.ID:
 		w.respond(r, Missing)
 	default:
@@ -119,20 +119,20 @@
 
 // isFresh reports whether a copy is no older than the maximum age of the request, or of the class if that of the request is
 // 0. If both are 0 a copy may have any age.
-func (w *World) isFresh(found *cachedCopy, class *topology.RequestClass, request *Request) bool {
+func (w *World) isFresh(entry *cachedCopy, class *topology.RequestClass, request *Request) bool {
 	maxAge := request.MaxAge
 	if maxAge == 0 {
 		maxAge = class.FreshFor.Duration()
 	}
-	return maxAge == 0 || w.now-found.born <= maxAge
+	return maxAge == 0 || w.now-entry.born <= maxAge
 }
 
 // serveHit sends a copy from memory. It starts a background revalidation if the request has Revalidate set and the copy is
 // older than half of its freshness lifetime.
-func (w *World) serveHit(r *openRequest, class *topology.RequestClass, found *cachedCopy) {
-	r.cache.memory.touch(found, r.Rank)
-	r.born, r.cacheStatus = found.born, routing.CacheHit
-	age, lifetime := w.now-found.born, class.FreshFor.Duration()
+func (w *World) serveHit(r *openRequest, class *topology.RequestClass, entry *cachedCopy) {
+	r.cache.memory.touch(entry, r.Rank)
+	r.born, r.cacheStatus = entry.born, routing.CacheHit
+	age, lifetime := w.now-entry.born, class.FreshFor.Duration()
 	if lifetime > 0 && age > lifetime {
 		r.cacheStatus = routing.ServedStale
 	}
@@ -149,9 +149,9 @@
 	if r.FillSource == noSource || m.revalidations[r.segment()] != nil {
 		return
 	}
-	started := &fill{cache: m, source: w.machines[r.FillSource], request: r.Request}
-	m.revalidations[r.segment()] = started
-	w.startFill(started)
+	revalidation := &fill{cache: m, source: w.machines[r.FillSource], request: r.Request}
+	m.revalidations[r.segment()] = revalidation
+	w.startFill(revalidation)
 }
 
 // send starts sending the body of the response.
--- a/internal/simulation/cores.go
+++ b/internal/simulation/cores.go
@@ -52,15 +52,15 @@
 // add starts a job that takes the given work in core seconds. When the job is done, the caller of takeDone calls done.
 func (c *cores) add(now time.Duration, work float64, done func()) *job {
 	c.settle(now)
-	added := &job{key: c.attained + work, run: done}
-	c.jobs.insert(added)
-	return added
+	newJob := &job{key: c.attained + work, run: done}
+	c.jobs.insert(newJob)
+	return newJob
 }
 
 // remove cancels a job. It ignores a job that is done.
-func (c *cores) remove(now time.Duration, canceled *job) {
+func (c *cores) remove(now time.Duration, target *job) {
 	c.settle(now)
-	c.jobs.remove(canceled)
+	c.jobs.remove(target)
 }
 
 // nextCompletion returns the time at which the next job will be done if the jobs and the speed do not change before. It
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -116,11 +116,11 @@
 		return
 	}
 	class := &w.description.Classes[f.request.Class]
-	found := parent.memory.get(f.request.segment())
+	entry := parent.memory.get(f.request.segment())
 	switch {
-	case found != nil && w.isFresh(found, class, &f.request):
-		parent.memory.touch(found, parentRank)
-		w.sendFill(f, found.born)
+	case entry != nil && w.isFresh(entry, class, &f.request):
+		parent.memory.touch(entry, parentRank)
+		w.sendFill(f, entry.born)
 	case f.request.OnlyIfCached:
 		w.failFill(f, routing.SourceMiss)
 	default:
@@ -131,8 +131,8 @@
 // fetchForFill makes a fill wait until its parent has fetched the segment from the origin. It starts the fetch if none is in
 // progress, and fails the fill if the parent is at its limit of fetches.
 func (w *World) fetchForFill(f *fill) {
-	parent, wanted := f.source, f.request.segment()
-	if inProgress := parent.fetching[wanted]; inProgress != nil {
+	parent, wantedSegment := f.source, f.request.segment()
+	if inProgress := parent.fetching[wantedSegment]; inProgress != nil {
 		inProgress.waiting = append(inProgress.waiting, f)
 		return
 	}
@@ -141,8 +141,8 @@
 		return
 	}
 	parent.addFetches(w.now, 1)
-	fetch := &originFetch{segment: wanted, waiting: []*fill{f}}
-	parent.fetching[wanted] = fetch
+	fetch := &originFetch{segment: wantedSegment, waiting: []*fill{f}}
+	parent.fetching[wantedSegment] = fetch
 	bytes := float64(f.request.Bytes)
 	w.afterOriginLatency(func() {
 		if fetch.ended {
@@ -190,14 +190,14 @@
 		return
 	}
 	f.ended = true
-	filled := f.request.segment()
-	if f.cache.revalidations[filled] == f {
-		delete(f.cache.revalidations, filled)
+	filledSegment := f.request.segment()
+	if f.cache.revalidations[filledSegment] == f {
+		delete(f.cache.revalidations, filledSegment)
 	}
 	arrived := result == routing.Filled || result == routing.FilledByOrigin
 	cacheable := !w.description.Classes[f.request.Class].Write
 	if arrived && cacheable && f.cache.isUp() {
-		f.cache.memory.put(filled, float64(f.request.Bytes), f.request.Rank, born)
+		f.cache.memory.put(filledSegment, float64(f.request.Bytes), f.request.Rank, born)
 	}
 	if f.waiting != nil && !f.waiting.ended {
 		w.resume(f.waiting, arrived, result, born)
@@ -241,9 +241,9 @@
 // because the end of a request starts the next request in the queue, and that request must not find transfers or fetches of
 // the parent that are still in progress.
 func (w *World) failParent(parent *machine) {
-	for _, sent := range slices.Clone(w.network.transfers) {
-		if sent.crosses(parent.outbound) {
-			w.network.cancel(w.now, sent)
+	for _, active := range slices.Clone(w.network.transfers) {
+		if active.crosses(parent.outbound) {
+			w.network.cancel(w.now, active)
 		}
 	}
 	waiting := w.endFillsFrom(parent)
@@ -267,10 +267,10 @@
 				waiting = append(waiting, r.fill)
 			}
 		}
-		for revalidated, f := range cache.revalidations {
+		for key, f := range cache.revalidations {
 			if f.source == parent {
 				f.ended = true
-				delete(cache.revalidations, revalidated)
+				delete(cache.revalidations, key)
 			}
 		}
 	}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -54,8 +54,8 @@
 
 // newMachine returns a machine that is up and has an empty memory. For a parent or the origin it adds the outbound link to
 // the network.
-func (w *World) newMachine(listed topology.Machine) *machine {
-	m := &machine{Machine: listed}
+func (w *World) newMachine(spec topology.Machine) *machine {
+	m := &machine{Machine: spec}
 	switch m.Role {
 	case topology.Cache:
 		kind := &w.description.Kinds[m.Kind]
--- a/internal/simulation/network.go
+++ b/internal/simulation/network.go
@@ -56,9 +56,9 @@
 
 // addLink adds a link with a rate in bytes a second.
 func (n *network) addLink(name string, rate float64) *link {
-	added := &link{name: name, rate: rate}
-	n.links = append(n.links, added)
-	return added
+	newLink := &link{name: name, rate: rate}
+	n.links = append(n.links, newLink)
+	return newLink
 }
 
 // settle adds the bytes transferred up to now to the counts of the links, and subtracts them from the remaining bytes of the
@@ -82,30 +82,30 @@
 // done.
 func (n *network) begin(now time.Duration, bytes float64, done func(), via ...*link) *transfer {
 	n.settle(now)
-	begun := &transfer{remaining: max(bytes, minTransferBytes), done: done}
-	copy(begun.links[:], via)
+	newTransfer := &transfer{remaining: max(bytes, minTransferBytes), done: done}
+	copy(newTransfer.links[:], via)
 	for _, l := range via {
 		l.transfers++
 	}
-	n.transfers = append(n.transfers, begun)
+	n.transfers = append(n.transfers, newTransfer)
 	n.ratesStale = true
-	return begun
+	return newTransfer
 }
 
 // cancel ends a transfer that is not complete. It ignores nil and a transfer that has ended.
-func (n *network) cancel(now time.Duration, canceled *transfer) {
-	if canceled == nil || canceled.ended {
+func (n *network) cancel(now time.Duration, target *transfer) {
+	if target == nil || target.ended {
 		return
 	}
 	n.settle(now)
-	n.release(canceled)
-	n.transfers = slices.DeleteFunc(n.transfers, func(other *transfer) bool { return other == canceled })
+	n.release(target)
+	n.transfers = slices.DeleteFunc(n.transfers, func(other *transfer) bool { return other == target })
 }
 
 // release marks a transfer as ended and frees its share of the links.
-func (n *network) release(ended *transfer) {
-	ended.ended = true
-	for _, l := range ended.route() {
+func (n *network) release(target *transfer) {
+	target.ended = true
+	for _, l := range target.route() {
 		l.transfers--
 	}
 	n.ratesStale = true
--- a/internal/simulation/priority_queue.go
+++ b/internal/simulation/priority_queue.go
@@ -57,9 +57,9 @@
 
 // Push appends an item, for package heap. Other callers use insert.
 func (q *priorityQueue[K]) Push(item any) {
-	added := item.(*queued[K])
-	added.position = len(*q)
-	*q = append(*q, added)
+	newItem := item.(*queued[K])
+	newItem.position = len(*q)
+	*q = append(*q, newItem)
 }
 
 // Pop removes the last item, for package heap. Other callers use takeFirst.
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -43,8 +43,8 @@
 	for _, zone := range description.Zones {
 		w.zoneLinks = append(w.zoneLinks, w.network.addLink("link of "+zone.Name, float64(zone.Link)))
 	}
-	for _, listed := range description.Machines() {
-		m := w.newMachine(listed)
+	for _, spec := range description.Machines() {
+		m := w.newMachine(spec)
 		w.machines[m.ID] = m
 		w.machineList = append(w.machineList, m)
 	}
@@ -57,9 +57,9 @@
 // schedule schedules do for the time at, or for the current time if at has passed.
 func (w *World) schedule(at time.Duration, do func()) *event {
 	w.lastSequence++
-	scheduled := &event{key: max(at, w.now), sequence: w.lastSequence, run: do}
-	w.events.insert(scheduled)
-	return scheduled
+	newEvent := &event{key: max(at, w.now), sequence: w.lastSequence, run: do}
+	w.events.insert(newEvent)
+	return newEvent
 }
 
 // NextEvent returns the time of the next event. Until then the world changes only by calls of its other methods. NextEvent
@@ -89,8 +89,8 @@
 func (w *World) endTransfers() {
 	w.transferEnd = nil
 	w.network.ratesStale = true
-	for _, complete := range w.network.takeComplete(w.now) {
-		complete.done()
+	for _, transfer := range w.network.takeComplete(w.now) {
+		transfer.done()
 	}
 }
 
