--- a/cmd/indigochute/plan_test.go
+++ b/cmd/indigochute/plan_test.go
@@ -63,7 +63,7 @@
 		{"missing capture", 1, "no such file", []string{"plan", smallFleet, "--load", truncated + "x"}},
 		{"capture of another fleet", 0, "rows of vhost page, which the fleet lacks", []string{"plan", other, "--load", smallCapture}},
 		{"goal of an unknown class", 1, `no vhost "x"`, []string{"plan", smallFleet, "--load", smallCapture, "--goal", "x 9% in its aim"}},
-		{"goal out of reach", 1, "stands in the way",
+		{"goal out of reach", 1, "is the limiting resource",
 			[]string{"plan", "need", smallFleet, "--load", smallCapture, "--goal", "page 99% in its aim at 1200 reqs/s"}},
 		{"unknown scenario", 1, "no rehearsal", []string{"scenario", "dance"}},
 		{"unknown schema", 2, "no schema", []string{"schema", "dance"}},
--- a/internal/capacity/answer.go
+++ b/internal/capacity/answer.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// MaxLateness is the delay of a measuring machine's own processes beyond which its measurements are void.
+// MaxLateness is the greatest delay of the processes of a measuring machine at which its measurements are valid.
 const MaxLateness = 8 * time.Millisecond
 
 // Answer is the complete result of a plan.
@@ -20,12 +20,12 @@
 	Rate              float64       `json:"rate"`             // captured requests a second
 	Span              float64       `json:"span_s"`           // of the capture, in seconds
 	IndexOfDispersion float64       `json:"burst"`            // of arrivals, see Demand.IndexOfDispersion
-	Limits            []Limit       `json:"limits"`           // in the order of the load that fills them, without queueing
+	Limits            []Limit       `json:"limits"`           // in ascending order of the load that fills them, without queueing
 	FirstBreak        *Break        `json:"break"`            // without a loss
-	Causes            []Cause       `json:"causes"`           // in the order of the load at which they break the goal
+	Causes            []Cause       `json:"causes"`           // in ascending order of the load at which they break the goal
 	WantedFactor      float64       `json:"wanted"`           // multiple of the captured load at which the goal must hold
 	Met               bool          `json:"met"`              // the goal holds at WantedFactor, without a loss and under each loss
-	Reason            string        `json:"why,omitempty"`    // why the goal is not met; empty if it is
+	Reason            string        `json:"why,omitempty"`    // why the goal is not met; empty if it is met
 	Losses            []*LossResult `json:"losses,omitempty"` // one for each loss that the goal names
 }
 
@@ -35,8 +35,9 @@
 	maxLimits = 12
 )
 
-// Answer finds what breaks first, whether the goal holds at the rate that it names, and the effect of each loss that it
-// names. It fails if the demand has no request of the goal's class or is too short for a run.
+// Answer finds the limit that breaks first, whether the goal holds at the rate that it names, and the effect of each loss that
+// it names. It fails if the demand is too short for a run, or if the goal names a rate and the demand has no request of the
+// goal's class.
 func (p *Planner) Answer() (*Answer, error) {
 	answer := &Answer{
 		Fleet:             p.Fleet.Name,
@@ -76,14 +77,14 @@
 	if a.Met {
 		return
 	}
-	a.Reason = fmt.Sprintf("the goal breaks at %.3g times the captured load and is wanted at %.3g times", a.FirstBreak.Factor, a.WantedFactor)
+	a.Reason = fmt.Sprintf("the goal breaks at %.3g times the captured load but must hold at %.3g times", a.FirstBreak.Factor, a.WantedFactor)
 	if len(a.Causes) > 0 {
 		limit := a.Causes[0].Limit
-		a.Reason += ": " + limit.Name + "'s " + limit.Resource + " stands in the way"
+		a.Reason += ": " + limit.Name + "'s " + limit.Resource + " is the limiting resource"
 	}
 }
 
-// addLoss adds the effect of a loss. A goal that does not hold under a loss is not met.
+// addLoss adds the effect of a loss. If the goal does not hold under the loss it is not met.
 func (a *Answer) addLoss(result *LossResult) {
 	a.Losses = append(a.Losses, result)
 	if result.Met {
@@ -95,8 +96,8 @@
 	}
 }
 
-// addDirectors adds directors whose cores are full to the causes. Runs do not include them, because decisions take no
-// simulated time. The load that fills the cores is therefore an upper bound of the load that the directors can carry.
+// addDirectors adds directors whose cores are full to the causes. Simulated runs do not find this limit, because decisions
+// take no simulated time. The load that fills the cores is an upper bound of the load that the directors can carry.
 func (a *Answer) addDirectors() {
 	for _, limit := range a.Limits {
 		if limit.Resource != limitDirector {
@@ -105,18 +106,18 @@
 		if a.FirstBreak.isBracketed() && limit.Factor >= a.lastBreak() {
 			continue
 		}
-		found := a.breakOfDirectors(limit)
-		a.Causes = append(a.Causes, Cause{Utilization{Name: limit.Name, Resource: limit.Resource, Used: 1}, found})
+		directorBreak := a.breakOfDirectors(limit)
+		a.Causes = append(a.Causes, Cause{Utilization{Name: limit.Name, Resource: limit.Resource, Used: 1}, directorBreak})
 		noBreakInRuns := a.FirstBreak.AlwaysHolds && !a.FirstBreak.NeverHolds
 		if noBreakInRuns || limit.Factor < a.FirstBreak.Factor {
-			a.FirstBreak = found
+			a.FirstBreak = directorBreak
 		}
 	}
 	slices.SortStableFunc(a.Causes, func(a, b Cause) int { return cmp.Compare(a.Break.Factor, b.Break.Factor) })
 	a.Causes = a.Causes[:min(maxCauses, len(a.Causes))]
 }
 
-// breakOfDirectors returns the break at the load that fills the cores of directors.
+// breakOfDirectors returns a break at the load that fills the cores of the directors of a zone.
 func (a *Answer) breakOfDirectors(limit Limit) *Break {
 	return &Break{
 		Factor:       limit.Factor,
@@ -126,7 +127,7 @@
 		Points:       a.FirstBreak.Points,
 		Utilizations: a.FirstBreak.Utilizations,
 		Results:      a.FirstBreak.Results,
-		Reason:       "reckoned from core time that reqs cost when captured",
+		Reason:       "estimated from the core time per request in the capture",
 	}
 }
 
--- a/internal/capacity/bounds.go
+++ b/internal/capacity/bounds.go
@@ -12,17 +12,17 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// Limit is a resource that more load may exhaust, and the load on it.
+// Limit is a resource that greater load may exhaust, and the load on it.
 type Limit struct {
 	Name     string  `json:"name"` // of the machine or link
 	Resource string  `json:"what"` // cores, link, fetches or director
 	Zone     int     `json:"-"`
 	Kind     int     `json:"-"`      // of a cache or parent
-	ID       uint32  `json:"-"`      // of the machine; 0: the link or the directors of a zone
+	ID       uint32  `json:"-"`      // of the machine; 0 for the link or the directors of a zone
 	Load     float64 `json:"load"`   // share of the limit that the captured load uses
 	Factor   float64 `json:"factor"` // multiple of the captured load at which the limit is full
-	Low      float64 `json:"low"`    // lower bound of Factor, as far as the length of the capture tells
-	High     float64 `json:"high"`   // upper bound of Factor
+	Low      float64 `json:"low"`    // lower bound of Factor, from the variation of the load during the capture
+	High     float64 `json:"high"`   // upper bound of Factor, from the same variation
 }
 
 // Values of Limit.Resource and Utilization.Resource.
@@ -32,7 +32,7 @@
 	limitFetches  = simulation.LimitFetches
 	limitDirector = "director" // cores of the directors of a zone
 
-	// limitSlowStart is the limit when many machines restart: their capacity and overload multiple in slow start.
+	// limitSlowStart is the limit if many machines restart: their reduced capacity and their overload multiple in slow start.
 	limitSlowStart = "cold start"
 )
 
@@ -41,11 +41,12 @@
 	// blocks gives the standard deviation of its mean.
 	blocks = 10
 
-	// maxFollowedReads is the maximum number of reads whose stack distances are computed. Of more reads a sample is used.
-	maxFollowedReads = 200_000
+	// maxTrackedReads is the maximum number of reads whose stack distances are computed. If a demand has more reads, only a
+	// sample of the parts is tracked.
+	maxTrackedReads = 200_000
 
-	// minShareOfMean bounds how far below its mean a load is assumed to lie, as a share of the mean. An upper bound beyond
-	// 1/minShareOfMean times the factor would be meaningless.
+	// minShareOfMean is the least load from which the upper bound of a factor is computed, as a share of the mean load. An upper
+	// bound beyond 1/minShareOfMean times the factor would be meaningless.
 	minShareOfMean = 0.1
 )
 
@@ -53,8 +54,8 @@
 type blockLoads [blocks]float64
 
 // Bounds estimates the load of the demand on each limit and returns the limits, the fullest first. It adds up work and
-// bytes without queueing, so that the factor of a limit is an upper bound of the load that the limit can carry. The
-// parameter factor is the multiple of the captured load for which hot objects and the age of copies are computed.
+// bytes and ignores queueing, so that the factor of a limit is an upper bound of the load that the limit can carry. The
+// parameter factor is the multiple of the captured load at which hot objects and the age of copies are determined.
 func Bounds(network *topology.Topology, demand *Demand, factor float64) []Limit {
 	estimate := newBounds(network, demand, factor)
 	estimate.countReads(func(int) bool { return true })
@@ -68,7 +69,7 @@
 }
 
 // ZoneMissRatioCurve returns the miss-ratio curve of the reads of one zone, and the memory in bytes that the caches of the
-// zone have for different parts.
+// zone have for distinct parts.
 func ZoneMissRatioCurve(network *topology.Topology, demand *Demand, zone int) (curve *MissRatioCurve, pool float64) {
 	estimate := newBounds(network, demand, 1)
 	estimate.countReads(func(other int) bool { return other == zone })
@@ -89,11 +90,11 @@
 	factor    float64 // multiple of the captured load
 	homes     *homes
 	blockSpan time.Duration // length of a block
-	reads     []zoneReads   // by zone; empty for zones that countReads leaves out
+	reads     []zoneReads   // by zone; empty for zones that countReads excludes
 	limits    []Limit       // found so far
 }
 
-// newBounds begins an estimate at a multiple of the captured load.
+// newBounds returns an estimate at a multiple of the captured load, without any limits.
 func newBounds(network *topology.Topology, demand *Demand, factor float64) *bounds {
 	return &bounds{
 		network:   network,
@@ -112,10 +113,10 @@
 
 // sampleShare returns the share of the parts whose stack distances are computed.
 func (b *bounds) sampleShare() float64 {
-	return min(1, maxFollowedReads/float64(len(b.demand.Requests)))
+	return min(1, maxTrackedReads/float64(len(b.demand.Requests)))
 }
 
-// add adds a limit. The loads of the blocks are shares of the limit. A limit without load is left out.
+// add adds a limit with its load in each block, as a share of the limit. It ignores a limit without load.
 func (b *bounds) add(limit Limit, loads blockLoads) {
 	mean, variance := 0.0, 0.0
 	for _, load := range loads {
@@ -135,7 +136,7 @@
 	b.limits = append(b.limits, limit)
 }
 
-// directors adds the load on the cores of directors, if the capture has the processor time of a request.
+// directors adds the load on the cores of the directors of each zone, if the capture has the core time of a request.
 func (b *bounds) directors() {
 	if b.demand.CPUPerRequest == 0 {
 		return
--- a/internal/capacity/bounds_cores.go
+++ b/internal/capacity/bounds_cores.go
@@ -9,7 +9,7 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// cacheLoad is the work that the demand causes at one cache.
+// cacheLoad is the work of one cache for the demand.
 type cacheLoad struct {
 	machine topology.Machine
 	kind    *topology.CacheKind
@@ -19,7 +19,7 @@
 // perCore returns the work per core in a block.
 func (c *cacheLoad) perCore(block int) float64 { return c.work[block] / float64(c.kind.Cores) }
 
-// cores adds the load on the cores of all caches. Each home node has the work of its own documents. The work of hot
+// cores adds the load on the cores of all caches. Each home node does the work for its own documents. The work for hot
 // documents is spread over the least loaded caches of a zone, as directors do.
 func (b *bounds) cores() {
 	zones := make([][]*cacheLoad, len(b.network.Zones))
@@ -42,7 +42,7 @@
 	}
 }
 
-// addCores adds the cores of a cache to the limits.
+// addCores adds the cores of a cache, with their load, to the limits.
 func (b *bounds) addCores(cache *cacheLoad) {
 	var loads blockLoads
 	for block := range loads {
@@ -52,8 +52,8 @@
 	b.add(Limit{Name: machine.Name, Resource: limitCores, Zone: machine.Zone, Kind: machine.Kind, ID: machine.ID}, loads)
 }
 
-// addWork adds the work of each request to its home node. It returns the work of hot documents, which have no single home,
-// by zone.
+// addWork adds the work of each request to its home node. It returns by zone the work for hot documents, which is not done by
+// a single home node.
 func (b *bounds) addWork(zones [][]*cacheLoad, byID map[uint32]*cacheLoad) (hotWork []blockLoads) {
 	hotWork = make([]blockLoads, len(zones))
 	for i := range b.demand.Requests {
@@ -75,7 +75,7 @@
 	return hotWork
 }
 
-// spreadHotWork distributes work over the caches of a zone so that the highest load per core is as low as possible (water
+// spreadHotWork distributes hotWork over the caches of a zone so that the highest load per core is as low as possible (water
 // filling).
 func spreadHotWork(caches []*cacheLoad, block int, hotWork float64) {
 	if len(caches) == 0 {
--- a/internal/capacity/bounds_links.go
+++ b/internal/capacity/bounds_links.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Bounds of links and fetches: the misses of caches and parents, and the fills that they cause.
+// Bounds of links and fetches, from the misses of caches and parents and the fills for them.
 
 import (
 	"time"
@@ -12,9 +12,9 @@
 // fillTimes holds the time at which each part was last filled into a memory.
 type fillTimes map[partKey]time.Duration
 
-// expired reports whether a read finds a copy past its freshness lifetime, or none, and records the fill that follows. At
-// a multiple of the captured load the time between two reads is shorter by that factor. A lifetime of 0 means that copies
-// do not age, and expired is false.
+// expired reports whether a read needs a fill because the part was never filled or the copy is older than its freshness
+// lifetime. In this case it records the time of the fill. At a multiple of the captured load the time between two reads is
+// shorter by that factor. A lifetime of 0 means that copies do not age: expired then returns false.
 func (f fillTimes) expired(request *Request, lifetime time.Duration, factor float64) bool {
 	if lifetime == 0 {
 		return false
@@ -35,24 +35,24 @@
 	curve  *MissRatioCurve
 	memory float64 // bytes
 	filled fillTimes
-	bytes  blockLoads // through the zone's link
+	bytes  blockLoads // transferred over the zone's link
 }
 
 // sourceFills holds the fills that a parent or the origin serves.
 type sourceFills struct {
 	machine topology.Machine
-	parent  *topology.Parent // nil: the origin
-	curve   *MissRatioCurve  // of a parent
-	filled  fillTimes        // of a parent
-	bytes   blockLoads       // out of its link
-	fetches blockLoads       // seconds that fetches from the origin take, added up
+	parent  *topology.Parent // nil for the origin
+	curve   *MissRatioCurve  // nil for the origin
+	filled  fillTimes        // nil for the origin
+	bytes   blockLoads       // transferred over its link
+	fetches blockLoads       // total duration of the fetches from the origin, in seconds
 }
 
-// fillBounds follows the fills that a demand causes. The misses of a zone are filled through its link, from the parent that
+// fillBounds estimates the fills that a demand causes. The misses of a zone are filled over its link, from the parent that
 // its directors choose first. The misses of that parent are filled from the origin.
 type fillBounds struct {
 	*bounds
-	share   float64 // share of the reads that is followed
+	share   float64 // share of the parts whose reads are tracked
 	zones   []*zoneFills
 	sources []*sourceFills // parents, then the origin
 	byID    map[uint32]*sourceFills
@@ -79,7 +79,7 @@
 		if machine.Role == topology.ParentRole {
 			source.parent = &b.network.Parents[machine.Kind]
 			source.filled = fillTimes{}
-			source.curve = NewMissRatioCurve(1) // follows all of its reads: they are a sample already
+			source.curve = NewMissRatioCurve(1) // tracks all of its reads, which are already a sample
 			source.curve.share = fills.share
 		}
 		fills.byID[machine.ID] = source
@@ -92,7 +92,7 @@
 	return fills
 }
 
-// request adds the fills that one request causes. A write goes to the origin and passes the link of its zone.
+// request adds the fills that one request causes. The response to a write comes from the origin over the link of the zone.
 func (f *fillBounds) request(request *Request) {
 	class := &f.network.Classes[request.Class]
 	zone, block := f.zones[f.zoneOf(request)], f.blockOf(request)
@@ -102,8 +102,8 @@
 		f.origin.fetches[block] += f.network.Origin.Latency.Seconds()
 		return
 	}
-	distance, followed := zone.curve.Read(request.Object, request.Part, float64(request.Bytes))
-	if !followed {
+	distance, tracked := zone.curve.Read(request.Object, request.Part, float64(request.Bytes))
+	if !tracked {
 		return
 	}
 	evicted := distance > zone.memory
@@ -115,18 +115,18 @@
 	f.fill(request, class)
 }
 
-// fill adds a fill of the caches of a zone from the parent or the origin.
+// fill adds a fill of a zone's cache from a parent or the origin, and the fetch of the parent if the parent misses.
 func (f *fillBounds) fill(request *Request, class *topology.RequestClass) {
 	block := f.blockOf(request)
 	bytes := float64(request.Bytes) / f.share
-	fetching := (f.network.Origin.Latency.Seconds() + float64(request.Bytes)/float64(f.network.Origin.Link)) / f.share
+	fetchSeconds := (f.network.Origin.Latency.Seconds() + float64(request.Bytes)/float64(f.network.Origin.Link)) / f.share
 	source := f.byID[f.homes.parent(f.zoneOf(request), request)]
 	if source == nil {
 		source = f.origin
 	}
 	source.bytes[block] += bytes
 	if source == f.origin {
-		f.origin.fetches[block] += fetching
+		f.origin.fetches[block] += fetchSeconds
 		return
 	}
 	distance, _ := source.curve.Read(request.Object, request.Part, float64(request.Bytes))
@@ -134,12 +134,12 @@
 	expired := source.filled.expired(request, class.FreshFor.Duration(), f.factor)
 	if evicted || expired {
 		f.origin.bytes[block] += bytes
-		source.fetches[block] += fetching
-		f.origin.fetches[block] += fetching
+		source.fetches[block] += fetchSeconds
+		f.origin.fetches[block] += fetchSeconds
 	}
 }
 
-// addLimits adds the links and fetches, with the loads found, to the limits.
+// addLimits adds the links and fetches, with their loads, to the limits.
 func (f *fillBounds) addLimits() {
 	for z, zone := range f.network.Zones {
 		f.add(Limit{Name: "zone " + zone.Name, Resource: limitLink, Zone: z}, f.shareOf(f.zones[z].bytes, float64(zone.Link)))
@@ -157,7 +157,7 @@
 	}
 }
 
-// shareOf returns the amounts of the blocks as shares of a limit that carries perSecond in a second.
+// shareOf converts the amounts of the blocks to shares of a limit that can carry the amount perSecond in a second.
 func (f *fillBounds) shareOf(amounts blockLoads, perSecond float64) (shares blockLoads) {
 	for block, amount := range amounts {
 		shares[block] = amount / (f.blockSpan.Seconds() * perSecond)
--- a/internal/capacity/bounds_reads.go
+++ b/internal/capacity/bounds_reads.go
@@ -1,12 +1,12 @@
 package capacity
 
-// Requests by zone and document, hot documents, and the memory that they leave.
+// Counts of requests by zone and document, hot documents, and the memory available for distinct parts.
 
 import (
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// zoneReads counts the requests that a zone serves, writes included.
+// zoneReads counts the requests that a zone serves, including writes.
 type zoneReads struct {
 	documents map[uint64]*documentReads
 	total     float64 // requests
@@ -15,11 +15,11 @@
 // documentReads counts the requests for a document.
 type documentReads struct {
 	requests float64
-	bytes    float64 // of all different parts that are requested
+	bytes    float64 // of all distinct parts that are requested
 }
 
-// countReads counts the requests of the zones for which wanted is true.
-func (b *bounds) countReads(wanted func(zone int) bool) {
+// countReads counts the requests of the zones for which include returns true.
+func (b *bounds) countReads(include func(zone int) bool) {
 	b.reads = make([]zoneReads, len(b.network.Zones))
 	seen := make([]map[partKey]bool, len(b.network.Zones))
 	for zone := range b.reads {
@@ -29,34 +29,34 @@
 	for i := range b.demand.Requests {
 		request := &b.demand.Requests[i]
 		zone := b.zoneOf(request)
-		if !wanted(zone) {
+		if !include(zone) {
 			continue
 		}
 		reads, document := &b.reads[zone], documentKey(b.network, request)
-		counted := reads.documents[document]
-		if counted == nil {
-			counted = &documentReads{}
-			reads.documents[document] = counted
+		counts := reads.documents[document]
+		if counts == nil {
+			counts = &documentReads{}
+			reads.documents[document] = counts
 		}
-		counted.requests++
+		counts.requests++
 		reads.total++
 		if key := (partKey{request.Object, request.Part}); !seen[zone][key] {
 			seen[zone][key] = true
-			counted.bytes += float64(request.Bytes)
+			counts.bytes += float64(request.Bytes)
 		}
 	}
 }
 
 // hot reports whether the directors of a zone spread the reads of a document over several caches. Each director decides
-// that from its own share of the requests in routing.HotWindow.
+// this from the requests that it receives itself within routing.HotWindow.
 func (b *bounds) hot(zone int, document *documentReads) bool {
 	directors := float64(max(1, b.network.Zones[zone].Directors))
-	seen := routing.HotWindow.Seconds() / b.demand.Span.Seconds() * b.factor / directors
-	return routing.IsHot(document.requests*seen, b.reads[zone].total*seen)
+	windowShare := routing.HotWindow.Seconds() / b.demand.Span.Seconds() * b.factor / directors
+	return routing.IsHot(document.requests*windowShare, b.reads[zone].total*windowShare)
 }
 
-// pool returns the memory in bytes that the caches of a zone have for different parts: all memory, less the second copies
-// of hot documents, but at least half of it.
+// pool returns the memory in bytes that the caches of a zone have for distinct parts. This is all memory minus the second
+// copies of hot documents, but at least half of all memory.
 func (b *bounds) pool(zone int) (bytes float64) {
 	for k := range b.network.Kinds {
 		kind := &b.network.Kinds[k]
--- a/internal/capacity/break.go
+++ b/internal/capacity/break.go
@@ -10,16 +10,16 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// Break is the load at which a goal breaks, with the runs that show it.
+// Break is the load at which a goal breaks, with the results of the runs from which the load is estimated.
 type Break struct {
 	Factor float64 `json:"factor"` // multiple of the captured load
 	Rate   float64 `json:"rate"`   // requests a second, all request classes
-	// Low and High bound the factor. The number of requests counted, and the variation of the load of the fullest limit
-	// over time, support no closer bounds.
+	// Low and High bound the factor. They are computed from the number of requests counted, and from the variation of the load
+	// of the fullest limit over time.
 	Low          float64       `json:"low"`
 	High         float64       `json:"high"`
-	AlwaysHolds  bool          `json:"held"`          // the goal holds at all loads tried; Factor is the greatest of them
-	NeverHolds   bool          `json:"never"`         // the goal holds at no load tried; Factor is the least of them
+	AlwaysHolds  bool          `json:"held"`          // the goal holds at all loads tried; Factor is the greatest load
+	NeverHolds   bool          `json:"never"`         // the goal holds at no load tried; Factor is the least load
 	Reason       string        `json:"why,omitempty"` // why greater loads could not be tried
 	Points       []Point       `json:"points"`        // in ascending order of the factor
 	Utilizations []Utilization `json:"uses"`          // at the break, the fullest limit first
@@ -42,33 +42,33 @@
 	return b.Utilizations[0]
 }
 
-// Break finds the load at which the goal breaks under a failure. The zero Failure means none. Its error is a
+// Break finds the load at which the goal breaks under a failure. The zero Failure means no failure. The error is a
 // ShortDemandError if the demand is too short for a run at any of the loads.
 func (p *Planner) Break(network *topology.Topology, failure Failure) (*Break, error) {
-	search := &breakSearch{planner: p, network: network, failure: failure, found: &Break{}}
+	search := &breakSearch{planner: p, network: network, failure: failure, breakpoint: &Break{}}
 	if err := search.coarse(); err != nil {
 		return nil, err
 	}
-	found := search.found
-	first, last := found.ends()
+	breakpoint := search.breakpoint
+	first, last := breakpoint.ends()
 	switch {
 	case !p.holds(first):
-		found.NeverHolds = true
-		found.setAt(first)
-		return found, nil
+		breakpoint.NeverHolds = true
+		breakpoint.setAt(first)
+		return breakpoint, nil
 	case p.holds(last):
-		found.AlwaysHolds = true
-		found.setAt(last)
-		return found, nil
+		breakpoint.AlwaysHolds = true
+		breakpoint.setAt(last)
+		return breakpoint, nil
 	}
 	if err := search.fine(); err != nil {
 		return nil, err
 	}
 	search.conclude()
-	return found, nil
+	return breakpoint, nil
 }
 
-// setAt sets the load of the break to that of a point, and the utilizations there.
+// setAt sets the load of the break to the load of a point, and the utilizations to those at this load.
 func (b *Break) setAt(point Point) {
 	b.Factor = point.Factor
 	b.Rate = point.Rate
@@ -78,7 +78,7 @@
 // ends returns the points with the least and the greatest load. There must be at least one point.
 func (b *Break) ends() (first, last Point) { return b.Points[0], b.Points[len(b.Points)-1] }
 
-// setUtilizations sets the utilizations to those of the run nearest to the break.
+// setUtilizations sets the utilizations to those of the run whose load is nearest to the break.
 func (b *Break) setUtilizations() {
 	distance := func(r *Result) float64 { return math.Abs(math.Log(r.Factor / b.Factor)) }
 	nearest := slices.MinFunc(b.Results, func(a, b *Result) int { return cmp.Compare(distance(a), distance(b)) })
--- a/internal/capacity/break_test.go
+++ b/internal/capacity/break_test.go
@@ -9,9 +9,9 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// TestHigherGoalNeverBreaksLater fits isotonic shares to random points. The shares never rise with load, and a higher goal
-// breaks at no higher load.
-func TestHigherGoalNeverBreaksLater(t *testing.T) {
+// TestIsotonicSharesAndCrossingsNeverRise fits isotonic shares to random points. The shares must not rise with load, and a
+// higher wanted share must not be crossed at a higher load.
+func TestIsotonicSharesAndCrossingsNeverRise(t *testing.T) {
 	check := func(shares []float64) bool {
 		var points []Point
 		for i, share := range shares {
@@ -41,12 +41,12 @@
 	}
 }
 
-// TestMoreLoadNeverServesMore simulates rising loads. The share of a run never rises with load by more than chance
-// explains.
-func TestMoreLoadNeverServesMore(t *testing.T) {
+// TestRunShareNeverRisesWithLoad simulates rising loads. The share of a run must not rise with load by more than random
+// variation explains.
+func TestRunShareNeverRisesWithLoad(t *testing.T) {
 	network := testTopology(t)
 	demand := randomDemand(network, 60, 60*time.Second, 300, 5)
-	const chance = 0.02
+	const tolerance = 0.02
 	lowestShare := 1.1 // above any share
 	for _, factor := range []float64{0.5, 1, 1.5, 2, 2.5, 3, 4} {
 		result, err := Run(network, demand, Setup{Factor: factor, Seed: 1, Warmup: 3 * time.Second, Span: 10 * time.Second})
@@ -54,17 +54,17 @@
 			t.Fatal(err)
 		}
 		share := result.Share(allClassesIndex)
-		if share > lowestShare+chance {
-			t.Errorf("at %g times the load a share of %.3f meets its objective, at less load %.3f", factor, share, lowestShare)
+		if share > lowestShare+tolerance {
+			t.Errorf("share at %g times the load: got %.3f, want no more than at less load, %.3f", factor, share, lowestShare)
 			continue
 		}
 		lowestShare = share
 	}
 }
 
-// TestOneMoreCacheNeverLowersTheBreak adds a cache to random demands. The break falls by no more than the unevenness of home
-// nodes explains: the new home node may get hot objects.
-func TestOneMoreCacheNeverLowersTheBreak(t *testing.T) {
+// TestBreakWithAdditionalCache adds a cache under random demands. The break must not fall by more than the uneven load of home
+// nodes explains, because the new cache may become the home node of hot objects.
+func TestBreakWithAdditionalCache(t *testing.T) {
 	check := func(seed uint64) bool {
 		network := testTopology(t)
 		demand := randomDemand(network, 60, 60*time.Second, 400, seed)
@@ -81,7 +81,7 @@
 		}
 		explained := max(uneven, unevenness(larger, demand)) + 0.05
 		if least := before.Factor * (1 - explained); after.Factor < least {
-			t.Logf("seed %d: breaks at %g, with one more cache at %g, want at least %g", seed, before.Factor, after.Factor, least)
+			t.Logf("seed %d: break at %g, with an additional cache: got %g, want at least %g", seed, before.Factor, after.Factor, least)
 			return false
 		}
 		return true
@@ -91,9 +91,9 @@
 	}
 }
 
-// unevenness returns how far the load of the busiest cache of a zone lies above the mean of the zone, as a share of the
-// load of the busiest one. It is that of the most uneven zone.
-func unevenness(network *topology.Topology, demand *Demand) (most float64) {
+// unevenness returns the difference between the load of the busiest cache of a zone and the mean load of the zone, as a share
+// of the load of the busiest cache. It returns the highest value of all zones.
+func unevenness(network *topology.Topology, demand *Demand) (highest float64) {
 	loads, count, greatest := map[int]float64{}, map[int]float64{}, map[int]float64{}
 	for _, limit := range Bounds(network, demand, 1) {
 		if limit.Resource == limitCores {
@@ -103,14 +103,14 @@
 		}
 	}
 	for zone := range loads {
-		most = max(most, 1-loads[zone]/count[zone]/greatest[zone])
+		highest = max(highest, 1-loads[zone]/count[zone]/greatest[zone])
 	}
-	return most
+	return highest
 }
 
-// TestALossNeverRaisesTheBreak removes or restarts machines under random demands. The break rises by no more than chance
+// TestBreakUnderFailure removes or restarts machines under random demands. The break must not rise by more than random variation
 // explains.
-func TestALossNeverRaisesTheBreak(t *testing.T) {
+func TestBreakUnderFailure(t *testing.T) {
 	check := func(seed uint64) bool {
 		network := testTopology(t)
 		demand := randomDemand(network, 60, 60*time.Second, 400, seed)
@@ -129,7 +129,7 @@
 			t.Fatal(err)
 		}
 		if with.Factor > without.Factor*1.04 {
-			t.Logf("seed %d: breaks at %g, and with %+v at %g, want no more", seed, without.Factor, failure, with.Factor)
+			t.Logf("seed %d: break at %g, with the failure %+v: got %g, want no more", seed, without.Factor, failure, with.Factor)
 			return false
 		}
 		return true
--- a/internal/capacity/demand.go
+++ b/internal/capacity/demand.go
@@ -19,41 +19,43 @@
 	Zone   int16  // index of the client's zone in the topology
 }
 
-// Demand is the requests of all clients over a span of time.
+// Demand holds the requests of all clients over a span of time.
 type Demand struct {
 	Requests      []Request     // in the order of arrival
 	Span          time.Duration // from the first request to the last
 	CPUPerRequest time.Duration // core time of a director; 0: unknown
 
-	// Excluded counts, by reason, captured rows that are not in Requests, or whose response has no size.
+	// Excluded counts by reason the captured rows that are not in Requests, or whose response has no size.
 	Excluded map[string]int
-	// SizesEstimated counts the requests of whose part no response has a size. Their sizes are drawn from the sizes of the
-	// request class.
+	// SizesEstimated counts the requests for parts without any response that has a size. Their sizes are drawn from the sizes
+	// of the request class.
 	SizesEstimated int
 }
 
-// allClassesIndex stands for all request classes where a function takes the index of one. So does any negative index.
+// allClassesIndex stands for all request classes in functions that take the index of a request class. Any other negative
+// index has the same meaning.
 const allClassesIndex = -1
 
-// DemandFromRequests returns the demand of requests in the order of arrival. There must be at least one request.
+// DemandFromRequests returns the demand that consists of the given requests, which must be in the order of arrival. There must
+// be at least one request.
 func DemandFromRequests(requests []Request) *Demand {
 	return &Demand{Requests: requests, Span: requests[len(requests)-1].At, Excluded: map[string]int{}}
 }
 
-// Notes returns sentences on what the demand lacks of its capture, one for each reason. Those on excluded rows are in
-// alphabetical order, the one on estimated sizes is last.
+// Notes returns notes on the differences between the demand and its capture, one for each reason. The notes on excluded rows
+// come first, in alphabetical order. The note on estimated sizes is last.
 func (d *Demand) Notes() (notes []string) {
 	for reason, count := range d.Excluded {
 		notes = append(notes, fmt.Sprintf("%d %s", count, reason))
 	}
 	slices.Sort(notes)
 	if d.SizesEstimated > 0 {
-		notes = append(notes, fmt.Sprintf("%d reqs have a size that no answer told; it was drawn from the vhost's sizes", d.SizesEstimated))
+		notes = append(notes, fmt.Sprintf("%d requests have no response with a size; their sizes were drawn from the sizes of their vhost", d.SizesEstimated))
 	}
 	return notes
 }
 
-// Rate returns the requests a second of one request class, or of all classes if the index is negative.
+// Rate returns the number of requests a second of one request class, or of all classes if the index is negative.
 func (d *Demand) Rate(classIndex int) float64 {
 	count := len(d.Requests)
 	if classIndex >= 0 {
@@ -75,8 +77,8 @@
 	minMeanCount = 1e-9
 )
 
-// IndexOfDispersion returns the ratio of the variance of the number of arrivals in a dispersionWindow to its mean. It is 1
-// for independent arrivals (a Poisson process) and greater for bursts.
+// IndexOfDispersion returns the variance of the number of arrivals in a dispersionWindow, divided by the mean of this number.
+// The index is 1 for independent arrivals (a Poisson process) and greater for bursts.
 func (d *Demand) IndexOfDispersion() float64 {
 	counts := make([]float64, int(d.Span/dispersionWindow)+1)
 	for i := range d.Requests {
@@ -99,7 +101,7 @@
 	Class  int16
 }
 
-// Sizes returns the size in bytes of each part in the demand, as of its last request.
+// Sizes returns the size in bytes of each part in the demand, from the last request for the part.
 func (d *Demand) Sizes() map[Part]int32 {
 	sizes := map[Part]int32{}
 	for i := range d.Requests {
--- a/internal/capacity/demand_capture.go
+++ b/internal/capacity/demand_capture.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The demand in a capture of a director.
+// Extraction of the demand from a capture of a director.
 
 import (
 	"fmt"
@@ -14,16 +14,17 @@
 )
 
 const (
-	// minDemandSpan is the shortest span of a demand. The rate of a shorter one would be meaningless.
+	// minDemandSpan is the shortest span of a demand. The rate of a shorter demand would be meaningless.
 	minDemandSpan = time.Second
 
-	// retryTolerance is how long after the end of Retry-After a request still counts as a retry.
+	// retryTolerance is the time after the end of Retry-After in which a request still counts as a retry.
 	retryTolerance = 250 * time.Millisecond
 )
 
-// DemandFromCapture returns the demand in a capture. A request for the same part as a rejected one, within the time that
-// clients of the topology wait, is a retry. Retries are not demand and are left out. It fails if the capture has no
-// request of the topology's request classes and zones, or spans less than minDemandSpan.
+// DemandFromCapture returns the demand in a capture. It leaves out retries. A request is a retry if an earlier request for the
+// same part was rejected and the time between them is at most the time that clients of the topology wait for a retry.
+// DemandFromCapture fails if the capture has no request of the topology's request classes and zones, or spans less than
+// minDemandSpan.
 func DemandFromCapture(network *topology.Topology, captured *capture.Capture) (*Demand, error) {
 	demand := &Demand{Excluded: map[string]int{}}
 	if captured.Report.CPU > 0 && len(captured.Rows) > 0 {
@@ -34,31 +35,31 @@
 		reader.read(&captured.Rows[i])
 	}
 	if len(demand.Requests) == 0 {
-		return nil, fmt.Errorf("the capture holds no req of this fleet's vhosts and zones (%d rows, %v)", captured.Report.Rows, demand.Excluded)
+		return nil, fmt.Errorf("the capture has no request for a vhost and zone of this fleet (%d rows, %v)", captured.Report.Rows, demand.Excluded)
 	}
 	reader.finish()
 	if demand.Span < minDemandSpan {
-		return nil, fmt.Errorf("the capture spans %v, too short to tell a rate", demand.Span)
+		return nil, fmt.Errorf("the capture spans %v, which is too short to compute a rate", demand.Span)
 	}
 	return demand, nil
 }
 
-// captureReader adds the rows of a capture to a demand. The caller calls read for each row in order, then finish.
+// captureReader adds the rows of a capture to a demand. The caller must call read for each row in order, and then finish.
 type captureReader struct {
 	network   *topology.Topology
 	capture   *capture.Capture
 	demand    *Demand
-	classes   []int         // index in the topology of each class of the capture; -1: the topology lacks it
-	zones     []int         // the same for zones
+	classes   []int         // index in the topology of each class of the capture; -1: the topology does not have the class
+	zones     []int         // index in the topology of each zone of the capture; -1: the topology does not have the zone
 	retryWait time.Duration // longest time between a rejection and its retry
 	sizes     map[Part]int32
-	rejected  map[Part][]rejection // whose retry may still come, in the order of arrival
+	rejected  map[Part][]rejection // rejections that may still be retried, in the order of arrival
 }
 
 // rejection is a rejected request that its client may retry.
 type rejection struct {
-	until   time.Duration // a request after this time is not its retry
-	retries int           // retries of the client before this request
+	until   time.Duration // time after which a request is not a retry of this one
+	retries int           // number of retries that the client had made, this request included
 }
 
 // newCaptureReader returns a reader that maps the request classes and zones of a capture to those of a topology by name.
@@ -76,7 +77,7 @@
 	}
 }
 
-// read adds one row to the demand, or counts the reason why it is left out.
+// read adds one row to the demand, or counts the reason for which the row is excluded.
 func (c *captureReader) read(row *capture.Row) {
 	class, zone := c.classes[row.Class], c.zones[row.Zone]
 	switch {
@@ -88,9 +89,9 @@
 		return
 	}
 	part := Part{row.Object, row.Part, int16(class)}
-	c.noteSize(part, row)
-	if c.noteRetry(part, row) {
-		c.demand.Excluded["retries of denied reqs, which are not demand"]++
+	c.recordSize(part, row)
+	if c.recordRetry(part, row) {
+		c.demand.Excluded["retries of rejected requests, which are not part of the demand"]++
 		return
 	}
 	c.demand.Requests = append(c.demand.Requests, Request{
@@ -103,7 +104,8 @@
 	})
 }
 
-// finish sets the span and the sizes, and makes arrival times relative to the first. There must be at least one request.
+// finish sets the span and the sizes, and makes the arrival times relative to the first arrival. The demand must have at least
+// one request.
 func (c *captureReader) finish() {
 	requests := c.demand.Requests
 	first := requests[0].At
@@ -119,9 +121,9 @@
 	c.demand.Span = requests[len(requests)-1].At
 }
 
-// noteSize records the size of a response. A response without bytes tells no size: the client has a copy, or the object is
-// empty.
-func (c *captureReader) noteSize(part Part, row *capture.Row) {
+// recordSize records the size of a response. The size is unknown if the response has no body, because either the client's copy
+// was still valid or the object is empty.
+func (c *captureReader) recordSize(part Part, row *capture.Row) {
 	if row.Disposition != director.Served {
 		return
 	}
@@ -131,13 +133,13 @@
 	}
 	sizeUnknown := c.sizes[part] == 0
 	if sizeUnknown && !c.network.Classes[part.Class].Write {
-		c.demand.Excluded["answers of no bytes: the client's own copy held, or the size was zero"]++
+		c.demand.Excluded["responses without a body: the client's copy was valid, or the object is empty"]++
 	}
 }
 
-// noteRetry reports whether a row is a retry of a rejected request. If the row is rejected itself, it records that a retry
-// may follow.
-func (c *captureReader) noteRetry(part Part, row *capture.Row) bool {
+// recordRetry reports whether a row is a retry of a rejected request. If the request of the row was rejected too, recordRetry
+// records the rejection, because a retry may follow.
+func (c *captureReader) recordRetry(part Part, row *capture.Row) bool {
 	retries := c.takeRejection(part, row)
 	if row.Disposition == director.Rejected && retries < c.network.Clients.Retries {
 		rejected := rejection{until: row.At + row.Complete + c.retryWait, retries: retries}
@@ -146,8 +148,9 @@
 	return retries > 0
 }
 
-// takeRejection removes the earliest rejection that a row can be the retry of, and all older ones, for which no retry came
-// in time. It returns the number of retries that the client has made with this one; 0: the row is not a retry.
+// takeRejection finds the earliest rejection of which a row can be the retry. It removes this rejection and all older ones,
+// for which no retry came in time. It returns the number of retries that the client has made, including this one, or 0 if the
+// row is not a retry.
 func (c *captureReader) takeRejection(part Part, row *capture.Row) (retries int) {
 	rejections := c.rejected[part]
 	if len(rejections) == 0 || c.network.Clients.Retries == 0 {
@@ -163,17 +166,17 @@
 	return retries
 }
 
-// indexesByName returns for each name its index among count other names, which nameAt returns; -1 if it is not among them.
-// If several others have the name, the last one counts.
+// indexesByName returns for each name the index i at which nameAt(i) returns the same name, where i is less than count. If there
+// are several such indexes it returns the last one, and if there is none -1.
 func indexesByName(names []string, count int, nameAt func(int) string) []int {
-	found := make([]int, len(names))
+	indexes := make([]int, len(names))
 	for i, name := range names {
-		found[i] = -1
+		indexes[i] = -1
 		for j := range count {
 			if nameAt(j) == name {
-				found[i] = j
+				indexes[i] = j
 			}
 		}
 	}
-	return found
+	return indexes
 }
--- a/internal/capacity/demand_test.go
+++ b/internal/capacity/demand_test.go
@@ -23,7 +23,7 @@
 	unknownZone
 )
 
-// capturedRow returns the row of a request for always the same object.
+// capturedRow returns the row of a request. All rows are for the same object.
 func capturedRow(milliseconds int, class, zone int16, disposition director.Disposition, responseBytes uint32) capture.Row {
 	return capture.Row{
 		At:            time.Duration(milliseconds) * time.Millisecond,
@@ -35,21 +35,22 @@
 	}
 }
 
-// demandOf returns the demand of captured rows.
+// demandOf returns the demand in a capture with the given rows.
 func demandOf(t *testing.T, rows ...capture.Row) (*Demand, error) {
 	t.Helper()
 	header := capture.Header{Classes: []string{"page", "order", "video"}, Zones: []string{"west", "north"}}
 	return DemandFromCapture(testTopology(t), &capture.Capture{Header: header, Rows: rows})
 }
 
-// TestDemandCountsWhatItExcludes reads a capture with rows that are not demand. They are excluded and counted.
-func TestDemandCountsWhatItExcludes(t *testing.T) {
+// TestDemandFromCaptureCountsExcludedRows reads a capture with rows that are not part of the demand. They must be excluded and
+// counted.
+func TestDemandFromCaptureCountsExcludedRows(t *testing.T) {
 	demand, err := demandOf(t,
 		capturedRow(0, pageClass, westZone, director.Served, 700),
 		capturedRow(10, unknownClass, westZone, director.Served, 9),
 		capturedRow(20, pageClass, unknownZone, director.Served, 9),
 		capturedRow(1000, pageClass, westZone, director.Rejected, 0),
-		capturedRow(1400, pageClass, westZone, director.Served, 700), // the retry of the rejected one
+		capturedRow(1400, pageClass, westZone, director.Served, 700), // the retry of the rejected request
 		capturedRow(1500, pageClass, westZone, director.Served, 0),
 		capturedRow(9000, orderClass, westZone, director.Rejected, 0))
 	if err != nil {
@@ -60,40 +61,41 @@
 		excluded += count
 	}
 	if len(demand.Requests) != 4 {
-		t.Fatalf("%d requests, want 4", len(demand.Requests))
+		t.Fatalf("got %d requests, want 4", len(demand.Requests))
 	}
 	if got := demand.Requests[1].Bytes; got != 700 {
-		t.Errorf("the second request is for %d bytes, want 700", got)
+		t.Errorf("size of the second request: got %d bytes, want 700", got)
 	}
 	if demand.SizesEstimated != 1 {
-		t.Errorf("%d sizes estimated, want 1", demand.SizesEstimated)
+		t.Errorf("got %d estimated sizes, want 1", demand.SizesEstimated)
 	}
 	if excluded != 3 {
-		t.Errorf("excluded %v, want 3 rows", demand.Excluded)
+		t.Errorf("got excluded rows %v, want 3 rows", demand.Excluded)
 	}
 	if want := 9 * time.Second; demand.Span != want {
-		t.Errorf("span %v, want %v", demand.Span, want)
+		t.Errorf("got a span of %v, want %v", demand.Span, want)
 	}
 	if notes := demand.Notes(); len(notes) != 4 { // three reasons, and the estimated size
-		t.Errorf("notes %q, want 4", notes)
+		t.Errorf("got notes %q, want 4", notes)
 	}
 }
 
-// TestCapturesWithoutDemandAreErrors reads captures without demand, or with demand that is too short for a rate.
-func TestCapturesWithoutDemandAreErrors(t *testing.T) {
+// TestDemandFromCaptureRejectsUnusableCaptures reads captures without demand, and a capture whose demand is too short for a
+// rate. Each must fail.
+func TestDemandFromCaptureRejectsUnusableCaptures(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		rows    []capture.Row
 		wantErr string
 	}{
-		{name: "no rows", wantErr: "no req"},
+		{name: "no rows", wantErr: "no request"},
 		{
 			name: "only other classes and zones",
 			rows: []capture.Row{
 				capturedRow(10, unknownClass, westZone, director.Served, 9),
 				capturedRow(20, pageClass, unknownZone, director.Served, 9),
 			},
-			wantErr: "no req",
+			wantErr: "no request",
 		},
 		{
 			name: "less than a second",
@@ -107,21 +109,21 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, err := demandOf(t, test.rows...)
 			if err == nil || !strings.Contains(err.Error(), test.wantErr) {
-				t.Errorf("error %v, want one with %q", err, test.wantErr)
+				t.Errorf("got error %v, want an error that contains %q", err, test.wantErr)
 			}
 		})
 	}
 }
 
-// TestShortCaptureEndsTheSearch runs a capture at a load for which it is too short. A single run fails with a
-// ShortDemandError, and a search for the break ends below that load.
-func TestShortCaptureEndsTheSearch(t *testing.T) {
+// TestRunAndBreakOfShortCapture uses a capture that is too short for high loads. A single run at a high load must fail with a
+// ShortDemandError, and a search for the break must end below that load.
+func TestRunAndBreakOfShortCapture(t *testing.T) {
 	network := testTopology(t)
 	demand := randomDemand(network, 60, 10*time.Second, 100, 1)
 	_, err := Run(network, demand, Setup{Factor: 50, Warmup: time.Second, Span: 5 * time.Second})
 	var short ShortDemandError
-	if !errors.As(err, &short) || short.Factor != 50 || !strings.Contains(err.Error(), "a longer one is needed") {
-		t.Errorf("error %v, want a ShortDemandError at 50 times the load", err)
+	if !errors.As(err, &short) || short.Factor != 50 || !strings.Contains(err.Error(), "a longer capture is needed") {
+		t.Errorf("got error %v, want a ShortDemandError at 50 times the load", err)
 	}
 
 	found, err := testPlanner(t, network, demand, "all 50% in its aim", 1).Break(network, Failure{})
@@ -129,6 +131,6 @@
 		t.Fatal(err)
 	}
 	if !found.AlwaysHolds && found.Factor > 5 {
-		t.Errorf("the goal breaks at %g, want at most 5", found.Factor)
+		t.Errorf("break: got %g, want at most 5", found.Factor)
 	}
 }
--- a/internal/capacity/failure.go
+++ b/internal/capacity/failure.go
@@ -4,12 +4,13 @@
 
 import "slices"
 
-// Failure is the set of machines and zones that fail when the counted span of a run begins. The zero Failure is none.
+// Failure is the set of machines and zones that fail when the counted span of a run begins. The zero Failure means that
+// nothing fails.
 type Failure struct {
 	Restarted   []uint32 // machines that restart together, empty and in slow start
 	Removed     []uint32 // machines that never come back
-	LostZones   []int    // zones whose directors are lost too
-	ClientsLost bool     // the clients of the lost zones send no more requests; if false other zones serve them
+	LostZones   []int    // zones whose directors are lost
+	ClientsLost bool     // the clients of the lost zones stop sending requests; if false, other zones serve these clients
 }
 
 // Empty reports whether nothing fails.
@@ -18,7 +19,8 @@
 // lost reports whether the directors of a zone are lost.
 func (f *Failure) lost(zone int) bool { return slices.Contains(f.LostZones, zone) }
 
-// key returns the machines and zones of a failure for comparison. The lists are separated by 0, which is no machine's ID.
+// key returns the machines and zones of a failure as one list, for comparison. The parts of the list are separated by 0, which
+// is not the ID of a machine.
 func (f *Failure) key() (list []uint32) {
 	list = append(list, f.Restarted...)
 	list = append(list, 0)
--- a/internal/capacity/fit_crossing.go
+++ b/internal/capacity/fit_crossing.go
@@ -1,33 +1,34 @@
 package capacity
 
-// The break as the crossing of a fitted line.
+// Estimation of the break by the crossing of a fitted line.
 
 import "math"
 
 const (
-	// overdispersion is the ratio of the variance of a share to the variance for independent requests. It is above 1
-	// because late requests come together.
+	// overdispersion is the ratio of the variance of a share to its variance for independent requests. It is above 1 because
+	// late requests occur in groups.
 	overdispersion = 2.0
 
-	// minRequestVariance is the least variance of a single request. It applies to goals near 0 or 1.
+	// minRequestVariance is the least variance that is assumed for a single request. It applies to shares near 0 or 1.
 	minRequestVariance = 1e-4
 
 	minFitPoints  = 4   // least number of points for a line
 	stretchGrowth = 1.5 // ratio of the stretches of two consecutive fits
 
-	// stretchRounding allows for the rounding of the widest stretch, which is reached by repeated growth.
+	// stretchRounding allows for the rounding error of the widest stretch, which is computed by repeated multiplication.
 	stretchRounding = 1.01
 )
 
 // FitCrossing returns the factor at which the share falls below the wanted share, and the standard deviation of that
-// factor. The factor is the crossing of a least-squares line through the points around the isotonic crossing.
+// factor. It computes the factor from a least-squares line through the points around the isotonic crossing.
 //
-// The stretch of points is as narrow as the number of requests allows. A share that falls steeply with load is determined
-// by few points, and is not linear over many. A share that falls slowly needs many points, and is linear over them. If no
-// stretch gives a line, the factor is the isotonic crossing, and the deviation is wideStretch of it.
-func FitCrossing(points []Point, want float64) (at, deviation float64) {
+// The stretch of load from which the points are taken is as narrow as the number of requests allows. If the share falls
+// steeply with load, few points are enough, and over a wide stretch the share is not linear. If the share falls slowly, many
+// points are needed, and the share is linear over a wide stretch. If no stretch gives a line, the factor is the isotonic
+// crossing, and the deviation is wideStretch times this factor.
+func FitCrossing(points []Point, want float64) (factor, deviation float64) {
 	center := IsotonicCrossing(points, want)
-	at, deviation = center, math.Inf(1)
+	factor, deviation = center, math.Inf(1)
 	for stretch := narrowStretch / 2; stretch <= wideStretch*stretchRounding; stretch *= stretchGrowth {
 		low, high := center/(1+stretch), center*(1+stretch)
 		fitted, ok := fitLine(points, low, high)
@@ -36,22 +37,23 @@
 		}
 		crossing := fitted.crossing(want)
 		if crossing < low || crossing > high {
-			continue // an extrapolation
+			continue // this would be an extrapolation
 		}
 		if fittedDeviation := fitted.deviation(crossing, want); fittedDeviation < deviation {
-			at, deviation = crossing, fittedDeviation
+			factor, deviation = crossing, fittedDeviation
 		}
-		if deviation < targetDeviation*at/2 {
+		if deviation < targetDeviation*factor/2 {
 			break
 		}
 	}
 	if math.IsInf(deviation, 1) {
-		deviation = at * wideStretch
+		deviation = factor * wideStretch
 	}
-	return at, deviation
+	return factor, deviation
 }
 
-// line is a falling line of the share over the factor. It is fitted to points by least squares, weighted by requests.
+// line is a falling straight line of the share as a function of the factor. It is fitted to points by least squares, weighted
+// by requests.
 type line struct {
 	weight     float64 // number of requests of all points
 	meanFactor float64
--- a/internal/capacity/fixtures_test.go
+++ b/internal/capacity/fixtures_test.go
@@ -31,7 +31,7 @@
 clients: {retries: 1, after: 300ms}
 `
 
-// testTopology returns smallTopology parsed.
+// testTopology parses smallTopology.
 func testTopology(t testing.TB) *topology.Topology {
 	t.Helper()
 	network, err := topology.Parse("test", []byte(smallTopology))
@@ -41,17 +41,17 @@
 	return network
 }
 
-// randomDemand returns a demand with a rate in requests a second and Poisson arrivals, most of them for a few popular
+// randomDemand returns a demand with Poisson arrivals at a rate in requests a second. Most requests are for a few popular
 // objects.
 func randomDemand(network *topology.Topology, rate float64, span time.Duration, objects int, seed uint64) *Demand {
-	const spread = 0x9e3779b97f4a7c15 // odd, so that different ranks have different objects
-	chance := rand.New(rand.NewPCG(seed, 9))
+	const spread = 0x9e3779b97f4a7c15 // odd, so that different popularity ranks give different objects
+	random := rand.New(rand.NewPCG(seed, 9))
 	var requests []Request
-	for at := time.Duration(0); at < span; at += time.Duration(chance.ExpFloat64() / rate * 1e9) {
-		popularityRank := math.Floor(float64(objects) * math.Pow(chance.Float64(), 2))
+	for at := time.Duration(0); at < span; at += time.Duration(random.ExpFloat64() / rate * 1e9) {
+		popularityRank := math.Floor(float64(objects) * math.Pow(random.Float64(), 2))
 		object := uint64(1+popularityRank) * spread
-		request := Request{At: at, Object: object, Zone: int16(chance.IntN(len(network.Zones)))}
-		if chance.IntN(20) == 0 {
+		request := Request{At: at, Object: object, Zone: int16(random.IntN(len(network.Zones)))}
+		if random.IntN(20) == 0 {
 			request.Class = 1
 		}
 		request.Bytes = int32(network.Classes[request.Class].SizeOf(object, 0))
@@ -60,7 +60,7 @@
 	return DemandFromRequests(requests)
 }
 
-// testPlanner returns a planner of short runs, one after the other.
+// testPlanner returns a planner with short runs that are simulated one after another.
 func testPlanner(t testing.TB, network *topology.Topology, demand *Demand, goal string, seed uint64) *Planner {
 	t.Helper()
 	parsed, err := ParseGoal(network, goal)
@@ -72,7 +72,8 @@
 	return planner
 }
 
-// quickConfig makes testing/quick draw count inputs from a fixed seed, so that each run of the tests draws the same.
+// quickConfig returns a configuration with which testing/quick generates count inputs from a fixed seed, so that each run of the
+// tests has the same inputs.
 func quickConfig(count int) *quick.Config {
 	return &quick.Config{MaxCount: count, Rand: mathrand.New(mathrand.NewSource(1))}
 }
--- a/internal/capacity/focus.go
+++ b/internal/capacity/focus.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The part of a large topology that is simulated.
+// Selection of the part of a large topology that is simulated.
 
 import (
 	"cmp"
@@ -10,28 +10,28 @@
 )
 
 const (
-	maxZonesInFull = 8 // a topology with more zones is simulated in part
-	maxFocusZones  = 4 // zones that are simulated then; more if a failure loses more
+	maxZonesInFull = 8 // greatest number of zones of a topology that is simulated completely
+	maxFocusZones  = 4 // number of zones that are simulated of a larger topology; more if a failure affects more
 )
 
 // focus is the part of a topology that is simulated, with its demand.
 type focus struct {
 	network           *topology.Topology
 	demand            *Demand
-	foreignLinkShares []float64 // as in Setup; nil: all zones are simulated
+	foreignLinkShares []float64 // as in Setup; nil if all zones are simulated
 }
 
-// cachedFocus is the last focus that was chosen. Each round of a search needs it.
+// cachedFocus holds the last focus that was chosen, because each round of a search needs it again.
 type cachedFocus struct {
 	network *topology.Topology // the complete topology
 	failure []uint32           // Failure.key
 	focus   focus
 }
 
-// focusOn chooses the part of a topology that is simulated. Of a large topology these are the zones whose own limits break
-// first, and the zones that a failure hits. The load of the other zones on parents and the origin is subtracted from their
-// links (see Setup.ForeignLinkShares). The goal is counted over the simulated zones only, so that the other zones, which
-// are less loaded, do not hide a break.
+// focusOn chooses the part of a topology that is simulated. Of a large topology this part consists of the zones whose own
+// limits break first and the zones that a failure affects. The load of the other zones on parents and the origin is subtracted
+// from the links of these machines (see Setup.ForeignLinkShares). The share of the goal is counted over the simulated zones
+// only, so that the less loaded other zones do not hide a break.
 func (p *Planner) focusOn(network *topology.Topology, failure Failure) focus {
 	if len(network.Zones) <= maxZonesInFull {
 		return focus{network: network, demand: p.Demand}
@@ -41,12 +41,12 @@
 	}
 	zones := p.focusedZones(network, failure)
 	inside, rest := p.Demand.splitByZone(network, zones)
-	chosen := focus{network: withCachesOf(network, zones), demand: inside}
+	selected := focus{network: withCachesOf(network, zones), demand: inside}
 	if len(rest.Requests) > 0 {
-		chosen.foreignLinkShares = linkLoads(network, rest, chosen.network.Machines())
+		selected.foreignLinkShares = linkLoads(network, rest, selected.network.Machines())
 	}
-	p.lastFocus = cachedFocus{network: network, failure: failure.key(), focus: chosen}
-	return chosen
+	p.lastFocus = cachedFocus{network: network, failure: failure.key(), focus: selected}
+	return selected
 }
 
 // withCachesOf returns a copy of the topology with the caches of the given zones only.
@@ -62,8 +62,8 @@
 	return part
 }
 
-// splitByZone splits the demand into the requests that the chosen zones serve and the rest. Both keep the span of the
-// whole.
+// splitByZone splits the demand into the requests that the chosen zones serve and the rest. Both parts have the span of the
+// complete demand.
 func (d *Demand) splitByZone(network *topology.Topology, chosen map[int]bool) (inside, rest *Demand) {
 	inside = &Demand{Span: d.Span, CPUPerRequest: d.CPUPerRequest}
 	rest = &Demand{Span: d.Span}
@@ -77,17 +77,17 @@
 	return inside, rest
 }
 
-// focusedZones chooses the zones to simulate: first the zones that lose their directors and the zones that then serve
-// their clients, next the zones with the most machines hit by the failure, and then, up to maxFocusZones, the zones whose
-// own limits break first.
+// focusedZones chooses the zones to simulate, in this order: the zones that lose their directors and the zones that then
+// serve their clients, up to maxFocusZones zones with the most caches affected by the failure, and the zones whose own limits
+// break first until maxFocusZones are chosen.
 func (p *Planner) focusedZones(network *topology.Topology, failure Failure) map[int]bool {
 	chosen := map[int]bool{}
 	for _, zone := range failure.LostZones {
 		chosen[zone] = true
 		chosen[max(0, network.ServingZone(zone, failure.lost))] = true
 	}
-	hit := mostHit(network, failure)
-	for _, zone := range hit[:min(maxFocusZones, len(hit))] {
+	affected := zonesByFailures(network, failure)
+	for _, zone := range affected[:min(maxFocusZones, len(affected))] {
 		chosen[zone] = true
 	}
 	for _, limit := range p.bounds(network) {
@@ -99,12 +99,12 @@
 	return chosen
 }
 
-// mostHit returns the zones with caches that a failure hits, those with the most such caches first.
-func mostHit(network *topology.Topology, failure Failure) (zones []int) {
+// zonesByFailures returns the zones with caches that fail, in descending order of the number of these caches.
+func zonesByFailures(network *topology.Topology, failure Failure) (zones []int) {
 	count := make([]int, len(network.Zones))
 	for _, machine := range network.Machines() {
-		hit := slices.Contains(failure.Restarted, machine.ID) || slices.Contains(failure.Removed, machine.ID)
-		if machine.Role != topology.Cache || !hit {
+		fails := slices.Contains(failure.Restarted, machine.ID) || slices.Contains(failure.Removed, machine.ID)
+		if machine.Role != topology.Cache || !fails {
 			continue
 		}
 		if count[machine.Zone] == 0 {
--- a/internal/capacity/focus_test.go
+++ b/internal/capacity/focus_test.go
@@ -7,9 +7,10 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// TestFocusFindsTheSameBreak simulates, of a topology with many zones, those that break first. The load of the other zones
-// is subtracted from the link of the origin. The complete topology breaks at about the same load.
-func TestFocusFindsTheSameBreak(t *testing.T) {
+// TestBreakOfFocusMatchesCompleteTopology searches for the break of a topology with many zones, of which only those that break
+// first are simulated. The load of the other zones is subtracted from the links of the parents and the origin. The complete
+// topology must break at about the same load.
+func TestBreakOfFocusMatchesCompleteTopology(t *testing.T) {
 	const smallZone = 3 // zd, which has fewer caches than the others
 	network := testTopology(t)
 	network.Zones, network.Kinds[0].CountByZone = nil, map[string]int{}
@@ -28,13 +29,13 @@
 		zones[int(chosen.demand.Requests[i].Zone)] = true
 	}
 	if len(zones) != maxFocusZones || !zones[smallZone] {
-		t.Fatalf("zones %v are simulated, want %d with zone %d among them", zones, maxFocusZones, smallZone)
+		t.Fatalf("simulated zones: got %v, want %d with zone %d among them", zones, maxFocusZones, smallZone)
 	}
 	if got := chosen.network.Kinds[0].CountByZone["zd"]; got != 2 {
-		t.Fatalf("zone zd has %d caches in the simulated part, want 2", got)
+		t.Fatalf("caches of zone zd in the simulated part: got %d, want 2", got)
 	}
 	if got, want := len(chosen.foreignLinkShares), len(chosen.network.Machines()); got != want {
-		t.Fatalf("%d shares of links, want one for each of %d machines", got, want)
+		t.Fatalf("got %d shares of links, want one for each of %d machines", got, want)
 	}
 	found, err := planner.Break(network, Failure{})
 	if err != nil {
@@ -48,9 +49,9 @@
 		return result.Share(-1)
 	}
 	if share := shareOfAll(found.Factor * 0.85); share < 0.95 {
-		t.Errorf("at 0.85 of the break at %g the complete topology has a share of %.3f, want at least 0.95", found.Factor, share)
+		t.Errorf("share of the complete topology at 0.85 times the break at %g: got %.3f, want at least 0.95", found.Factor, share)
 	}
 	if share := shareOfAll(found.Factor * 1.5); share >= 0.95 {
-		t.Errorf("at 1.5 times the break at %g the complete topology has a share of %.3f, want less than 0.95", found.Factor, share)
+		t.Errorf("share of the complete topology at 1.5 times the break at %g: got %.3f, want less than 0.95", found.Factor, share)
 	}
 }
--- a/internal/capacity/goal.go
+++ b/internal/capacity/goal.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Goals (service level objectives) and how they are written.
+// Goals (service level objectives) and their notation.
 
 import (
 	"fmt"
@@ -15,11 +15,12 @@
 )
 
 // Goal is a service level objective: the share of the requests of a class that must be answered within the latency
-// objective. It may name a rate, and losses in spite of which it must hold. ParseGoal reads a goal in words, such as:
+// objective. It may name a rate, and losses under which it must also hold. ParseGoal parses a goal in words, such as:
 //
 //	repair-clip 98% in its aim at 300 reqs/s also after the loss of zone east also while a fifth returns cold
 //
-// The fields and their types are exported for the parser, which also uses the type names in its error messages.
+// The fields and their types are exported because the parser requires it. The parser also uses the type names in its error
+// messages.
 type Goal struct {
 	Class  string   `parser:"@Ident"`                                        // name of the request class, or "all"
 	Share  string   `parser:"@Percent 'in' ('its' | 'their') 'aim'"`         // as written, with its percent sign
@@ -30,8 +31,8 @@
 	share      float64 // Share as a number, above 0 and up to 1
 }
 
-// Loss is a failure in spite of which a goal must hold: a removal of machines or, if Removal is nil, a restart of caches.
-// The type name appears in error messages of the parser.
+// Loss is a failure under which a goal must hold: a removal of machines or, if Removal is nil, a restart of caches. The type
+// name appears in error messages of the parser.
 type Loss struct {
 	Removal *After `parser:"'also' ( 'after' 'the' 'loss' 'of' @@"`
 	Restart string `parser:"| 'while' ('a' | 'an')? @(Ident | Percent) ('return' | 'returns') 'cold' ('at' 'once')? )"` // share of the caches
@@ -41,7 +42,7 @@
 type After struct {
 	Scope       string `parser:"@('zone' | 'parent' | 'kind')"`
 	Name        string `parser:"@Ident"`
-	ClientsLost bool   `parser:"@('with' 'its' 'clients')?"` // of a zone: its clients send no more requests
+	ClientsLost bool   `parser:"@('with' 'its' 'clients')?"` // for a zone: its clients send no more requests
 }
 
 // Values of After.Scope.
@@ -51,10 +52,10 @@
 	scopeKind   = "kind"
 )
 
-// allClasses stands for all request classes in the words of a goal.
+// allClasses stands for all request classes in the text of a goal.
 const allClasses = "all"
 
-// goalParser reads goals by the parser tags of Goal, Loss and After.
+// goalParser parses goals according to the parser tags of Goal, Loss and After.
 var goalParser = participle.MustBuild[Goal](participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Percent", Pattern: `[0-9]+(\.[0-9]+)?%`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?`},
@@ -63,25 +64,25 @@
 	{Name: "space", Pattern: `\s+`},
 })))
 
-// shareWords are the words for a share of all caches.
+// shareWords maps words to the share of all caches that they mean.
 var shareWords = map[string]float64{"half": 0.5, "third": 1.0 / 3, "quarter": 0.25, "fifth": 0.2, "tenth": 0.1}
 
-// ParseGoal reads a goal for a topology. It fails if the text is not a goal, or if the topology lacks a name in it. The
-// error quotes the text.
+// ParseGoal parses a goal for a topology. It fails if the text is not a goal, or if it contains a name that the topology does
+// not have. The error quotes the text.
 func ParseGoal(network *topology.Topology, text string) (*Goal, error) {
 	goal, err := goalParser.ParseString("goal", text)
 	if err != nil {
-		return nil, fmt.Errorf("goal %q: %w; expected such as: %s 98%% in its aim at 300 reqs/s", text, err, network.Classes[0].Name)
+		return nil, fmt.Errorf("goal %q: %w; expected a goal such as: %s 98%% in its aim at 300 reqs/s", text, err, network.Classes[0].Name)
 	}
 	goal.classIndex = slices.IndexFunc(network.Classes, func(class topology.RequestClass) bool { return class.Name == goal.Class })
 	if goal.classIndex < 0 && goal.Class != allClasses {
 		return nil, fmt.Errorf("goal %q: the fleet has no vhost %q", text, goal.Class)
 	}
 	if goal.share, err = parsePercent(goal.Share); err != nil || !isPositiveShare(goal.share) {
-		return nil, fmt.Errorf("goal %q: %s is no share from above 0%% to 100%%", text, goal.Share)
+		return nil, fmt.Errorf("goal %q: share %s must be above 0%% and at most 100%%", text, goal.Share)
 	}
 	if goal.Rate != nil && *goal.Rate <= 0 {
-		return nil, fmt.Errorf("goal %q: a rate above 0 is expected", text)
+		return nil, fmt.Errorf("goal %q: the rate must be above 0 reqs/s", text)
 	}
 	for _, loss := range goal.Losses {
 		if err := loss.validate(network); err != nil {
@@ -91,11 +92,12 @@
 	return goal, nil
 }
 
-// validate returns an error if the topology lacks what the loss names, or if the share of a restart is not one.
+// validate returns an error if the topology does not have the machines or zone that the loss names, or if the share of a
+// restart is invalid.
 func (l *Loss) validate(network *topology.Topology) error {
 	if l.Removal == nil {
 		if share, err := l.restartShare(); err != nil || !isPositiveShare(share) {
-			return fmt.Errorf("%q is no part of the caches; a fifth or 20%% are", l.Restart)
+			return fmt.Errorf("%q is not a share of the caches; expected a share such as a fifth or 20%%", l.Restart)
 		}
 		return nil
 	}
@@ -120,7 +122,7 @@
 	return value / 100, err
 }
 
-// isPositiveShare reports whether a number is a share of more than nothing.
+// isPositiveShare reports whether a number is above 0 and at most 1.
 func isPositiveShare(share float64) bool { return share > 0 && share <= 1 }
 
 // restartShare returns the share of the caches that restart. It fails if the text is neither a percentage nor one of
@@ -149,12 +151,12 @@
 	}
 	captured := demand.Rate(g.classIndex)
 	if captured == 0 {
-		return 0, fmt.Errorf("goal for %s: the capture holds no req of it, so no rate can be set by it", g.Class)
+		return 0, fmt.Errorf("goal for %s: the capture has no request of this vhost, so the load cannot be scaled to the rate of the goal", g.Class)
 	}
 	return *g.Rate / captured, nil
 }
 
-// String returns the goal in words that ParseGoal reads.
+// String returns the goal as a text that ParseGoal accepts.
 func (g *Goal) String() string {
 	text := fmt.Sprintf("%s %s in its aim", g.Class, g.Share)
 	if g.Rate != nil {
@@ -166,14 +168,14 @@
 	return text
 }
 
-// String returns the loss in words, without the "also" before it.
+// String returns the loss in words, without the "also" that comes before it in a goal.
 func (l *Loss) String() string {
 	if l.Removal == nil {
-		what := l.Restart
-		if _, word := shareWords[what]; word && what != "half" {
-			what = "a " + what
+		share := l.Restart
+		if _, isWord := shareWords[share]; isWord && share != "half" {
+			share = "a " + share
 		}
-		return "while " + what + " returns cold at once"
+		return "while " + share + " returns cold at once"
 	}
 	text := "after the loss of " + l.Removal.Scope + " " + l.Removal.Name
 	if l.Removal.ClientsLost {
--- a/internal/capacity/goal_test.go
+++ b/internal/capacity/goal_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestGoalsAreParsedAndPrinted parses goals in several forms. All are printed in one form.
-func TestGoalsAreParsedAndPrinted(t *testing.T) {
+// TestParseGoalAndString parses goals in several forms. String must return each of them in the canonical form.
+func TestParseGoalAndString(t *testing.T) {
 	network := testTopology(t)
 	for _, test := range []struct{ name, text, want string }{
 		{
@@ -42,33 +42,33 @@
 	}
 }
 
-// TestWrongGoalsAreErrors parses texts that are not goals of the topology. Each error quotes the text and says what is
-// wrong.
-func TestWrongGoalsAreErrors(t *testing.T) {
+// TestParseGoalRejectsInvalidText parses texts that are not valid goals for the topology. Each error must quote the text and
+// name the fault.
+func TestParseGoalRejectsInvalidText(t *testing.T) {
 	network := testTopology(t)
 	for _, test := range []struct{ name, text, wantErr string }{
-		{name: "empty", text: "", wantErr: "expected such as"},
+		{name: "empty", text: "", wantErr: "expected a goal such as"},
 		{name: "unknown request class", text: "pages 98% in its aim", wantErr: `no vhost "pages"`},
-		{name: "no percentage", text: "page 98 in its aim", wantErr: "expected such as"},
-		{name: "a share of 0", text: "page 0% in its aim", wantErr: "no share"},
-		{name: "a share above 1", text: "page 120% in its aim", wantErr: "no share"},
-		{name: "a rate of 0", text: "page 98% in its aim at 0 reqs/s", wantErr: "above 0"},
+		{name: "no percentage", text: "page 98 in its aim", wantErr: "expected a goal such as"},
+		{name: "a share of 0", text: "page 0% in its aim", wantErr: "share 0% must be above 0% and at most 100%"},
+		{name: "a share above 1", text: "page 120% in its aim", wantErr: "share 120% must be above 0% and at most 100%"},
+		{name: "a rate of 0", text: "page 98% in its aim at 0 reqs/s", wantErr: "rate must be above 0"},
 		{name: "unknown zone", text: "page 98% in its aim also after the loss of zone north", wantErr: `no zone "north"`},
 		{
 			name:    "unknown scope of a loss",
 			text:    "page 98% in its aim also after the loss of rack x",
 			wantErr: `unexpected token "rack" (expected After)`,
 		},
-		{name: "unknown share of a restart", text: "page 98% in its aim also while a dozen returns cold", wantErr: "no part"},
+		{name: "unknown share of a restart", text: "page 98% in its aim also while a dozen returns cold", wantErr: "not a share of the caches"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := ParseGoal(network, test.text)
 			if err == nil {
-				t.Fatalf("%q was accepted", test.text)
+				t.Fatalf("parsing %q: got no error, want one", test.text)
 			}
 			for _, want := range []string{test.wantErr, `goal "` + test.text + `"`} {
 				if !strings.Contains(err.Error(), want) {
-					t.Errorf("error %q, want one with %q", err, want)
+					t.Errorf("got error %q, want an error that contains %q", err, want)
 				}
 			}
 		})
--- a/internal/capacity/homes.go
+++ b/internal/capacity/homes.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The machines that directors choose first for a request.
+// The home node and the parent that directors choose first for a request.
 
 import (
 	"indigochute.example/indigochute/internal/routing"
@@ -8,44 +8,44 @@
 )
 
 // homes finds the machines that directors choose for a request while no machine is overloaded or ejected: the home node
-// among the caches of a zone, and the first parent of the nearest hub. All machines have the same weight, whatever their
-// size.
+// among the caches of a zone, and the first parent of the nearest hub. All machines have the same weight, regardless of
+// their size.
 type homes struct {
 	network *topology.Topology
 	zones   []zoneHomes
 }
 
-// zoneHomes holds the machines that the directors of one zone choose from, and caches their choices by document.
+// zoneHomes holds the machines from which the directors of one zone choose, and caches their choices by document.
 type zoneHomes struct {
 	caches           []uint32
 	parents          []uint32 // at the nearest hub that has any
-	parentDistance   int      // distance of that hub; meaningless without parents
+	parentDistance   int      // distance of that hub; valid if there are parents
 	homeByDocument   map[uint64]uint32
 	parentByDocument map[uint64]uint32
 }
 
-// newHomes lists the machines of each zone. Choices are computed when they are needed.
+// newHomes lists the machines of each zone. The choices for a document are computed when they are first needed.
 func newHomes(network *topology.Topology) *homes {
-	found := &homes{network: network, zones: make([]zoneHomes, len(network.Zones))}
-	for z := range found.zones {
-		found.zones[z].homeByDocument = map[uint64]uint32{}
-		found.zones[z].parentByDocument = map[uint64]uint32{}
+	result := &homes{network: network, zones: make([]zoneHomes, len(network.Zones))}
+	for z := range result.zones {
+		result.zones[z].homeByDocument = map[uint64]uint32{}
+		result.zones[z].parentByDocument = map[uint64]uint32{}
 	}
 	for _, machine := range network.Machines() {
 		switch machine.Role {
 		case topology.Cache:
-			zone := &found.zones[machine.Zone]
+			zone := &result.zones[machine.Zone]
 			zone.caches = append(zone.caches, machine.ID)
 		case topology.ParentRole:
-			for z := range found.zones {
-				found.zones[z].addParent(machine.ID, network.HubDistance(z, machine.Zone))
+			for z := range result.zones {
+				result.zones[z].addParent(machine.ID, network.HubDistance(z, machine.Zone))
 			}
 		}
 	}
-	return found
+	return result
 }
 
-// addParent adds a parent unless a nearer one is known. It drops parents that are farther.
+// addParent adds a parent, unless a nearer parent was added before. It removes parents that are farther.
 func (z *zoneHomes) addParent(id uint32, distance int) {
 	if len(z.parents) == 0 || distance < z.parentDistance {
 		z.parents = nil
@@ -71,12 +71,12 @@
 	return routing.DocumentKey(request.Object, request.Part, network.Classes[request.Class].Parts > 0)
 }
 
-// firstRanked returns the first machine in the rendezvous hash order of a document. It caches the result in known.
-func firstRanked(known map[uint64]uint32, ids []uint32, document uint64) uint32 {
-	id, ok := known[document]
+// firstRanked returns the first machine in the rendezvous hash order of a document. It caches the result in byDocument.
+func firstRanked(byDocument map[uint64]uint32, ids []uint32, document uint64) uint32 {
+	id, ok := byDocument[document]
 	if !ok {
 		id = routing.Home(document, ids)
-		known[document] = id
+		byDocument[document] = id
 	}
 	return id
 }
--- a/internal/capacity/initial_copies.go
+++ b/internal/capacity/initial_copies.go
@@ -10,8 +10,8 @@
 
 // Cache priorities (retention ranks) of the copies that machines have when a run begins.
 const (
-	priorityReadOnce  = 1 // of a part that was read once
-	priorityReadAgain = 2 // of a part that was read again, and of all copies at parents
+	priorityReadOnce  = 1 // for a part that was read once
+	priorityReadAgain = 2 // for a part that was read again, and for all copies at parents
 )
 
 // CachedCopy is a copy that a machine has when a run begins.
@@ -24,14 +24,14 @@
 	FilledAt      time.Duration // negative, because the run begins at 0
 }
 
-// partKey identifies one part of an object, whatever the request class.
+// partKey identifies one part of an object, independently of the request class.
 type partKey struct {
 	object uint64
 	part   uint32
 }
 
-// InitialCopies returns the copies that machines have when a run begins, after the requests before it: at the home nodes,
-// and at the parents that directors choose first. Without them every run would begin with empty caches.
+// InitialCopies returns the copies that machines have when a run begins. The requests before the run have left them at the home
+// nodes and at the parents that directors choose first. Without these copies every run would begin with empty caches.
 func InitialCopies(network *topology.Topology, before []Request) (copies []CachedCopy) {
 	homes := newHomes(network)
 	type zonePart struct {
@@ -47,20 +47,20 @@
 		}
 		zone := network.ServingZone(int(request.Zone), nil)
 		key := zonePart{partKey{request.Object, request.Part}, zone}
-		priority, filled := uint8(priorityReadOnce), request.At
+		priority, fillTime := uint8(priorityReadOnce), request.At
 		if lastFill, readBefore := filledAt[key]; readBefore {
 			priority = priorityReadAgain
 			stillFresh := class.FreshFor == 0 || request.At-lastFill <= class.FreshFor.Duration()
 			if stillFresh {
-				filled = lastFill
+				fillTime = lastFill
 			}
 		}
-		filledAt[key] = filled
+		filledAt[key] = fillTime
 		if home := homes.home(zone, request); home != 0 {
-			copies = append(copies, cachedCopy(home, request, priority, filled))
+			copies = append(copies, cachedCopy(home, request, priority, fillTime))
 		}
 		if parent := homes.parent(zone, request); parent != 0 {
-			copies = append(copies, cachedCopy(parent, request, priorityReadAgain, filled))
+			copies = append(copies, cachedCopy(parent, request, priorityReadAgain, fillTime))
 		}
 	}
 	return copies
--- a/internal/capacity/isotonic.go
+++ b/internal/capacity/isotonic.go
@@ -4,9 +4,9 @@
 
 import "slices"
 
-// IsotonicShares returns, for points in ascending order of load, fitted shares that never rise with load, because more
-// load serves no request better. It is an isotonic regression, weighted by requests, by the pool adjacent violators
-// algorithm (Ayer et al., An Empirical Distribution Function for Sampling with Incomplete Information, 1955).
+// IsotonicShares fits shares that never rise with load to points in ascending order of load, because the true share cannot
+// rise with load. It is an isotonic regression, weighted by requests, by the pool adjacent violators algorithm (Ayer et al., An
+// Empirical Distribution Function for Sampling with Incomplete Information, 1955).
 func IsotonicShares(points []Point) (shares []float64) {
 	type pool struct {
 		share    float64
@@ -32,8 +32,8 @@
 }
 
 // IsotonicCrossing returns the factor at which the isotonic shares fall below the wanted share, interpolated between two
-// points. It is the first factor if they are below it everywhere, and the last one if nowhere. There must be at least one
-// point.
+// points. If all shares are below the wanted share it returns the first factor, and if none is, the last factor. There must be
+// at least one point.
 func IsotonicCrossing(points []Point, want float64) float64 {
 	shares := IsotonicShares(points)
 	for i, share := range shares {
--- a/internal/capacity/loss.go
+++ b/internal/capacity/loss.go
@@ -13,23 +13,23 @@
 type LossResult struct {
 	Description      string            `json:"what"`               // the loss in words
 	Factor           float64           `json:"factor"`             // multiple of the captured load at which the loss was simulated
-	Met              bool              `json:"met"`                // the goal holds there, over the span after the loss
-	Share            float64           `json:"share"`              // of the requests, answered within the latency objective
+	Met              bool              `json:"met"`                // the goal holds at Factor, over the span after the loss
+	Share            float64           `json:"share"`              // of the requests that are answered within the latency objective
 	Break            *Break            `json:"break"`              // the load at which the goal breaks under the loss
 	Machines         []string          `json:"machines,omitempty"` // names of the machines that are removed or restarted
-	Selection        *RestartSelection `json:"choice,omitempty"`   // of the machines of a restart; nil: a removal
-	LeastShare       float64           `json:"depth"`              // least share of any slot
-	ShortfallSeconds float64           `json:"length_s"`           // until the share of the goal is reached again for good
-	FillRatio        float64           `json:"extra_fills"`        // ratio of the fills to those without the loss
-	Metastable       bool              `json:"jam"`                // metastable failure: the shortfall lasts, and would end without retries
-	MachineFailures  int               `json:"falls"`              // machines that failed in the run, without those of the loss
+	Selection        *RestartSelection `json:"choice,omitempty"`   // of the machines of a restart; nil for a removal
+	LeastShare       float64           `json:"depth"`              // least share of a slot
+	ShortfallSeconds float64           `json:"length_s"`           // time until the share of the goal is reached permanently
+	FillRatio        float64           `json:"extra_fills"`        // number of fills, divided by the number without the loss
+	Metastable       bool              `json:"jam"`                // metastable failure: the shortfall ends only without retries
+	MachineFailures  int               `json:"falls"`              // number of machine failures in the run, except those of the loss
 	Cause            *Cause            `json:"cause,omitempty"`    // the limit that breaks the goal under the loss
 	ShareOverTime    []float64         `json:"over_time"`          // share by slot, each SlotSpan long
 }
 
-// Failure returns the failure that a loss stands for. For a restart this is the worst set of caches at a multiple of the
-// captured load, and the selection says how that set was chosen. For a removal the selection is nil. It fails if the loss
-// removes nothing.
+// Failure returns the machines and zones that fail in a loss. For a restart these are the worst set of caches at a multiple of
+// the captured load, and the selection describes how this set was chosen. For a removal the selection is nil. Failure returns
+// an error if the loss removes neither a machine nor a zone.
 func (p *Planner) Failure(loss *Loss, factor float64) (failure Failure, selection *RestartSelection, err error) {
 	if loss.Removal == nil {
 		share, err := loss.restartShare()
@@ -51,7 +51,7 @@
 		}
 	}
 	if len(failure.Removed)+len(failure.LostZones) == 0 {
-		return failure, nil, fmt.Errorf("the loss of %s %s takes nothing away", loss.Removal.Scope, loss.Removal.Name)
+		return failure, nil, fmt.Errorf("the loss of %s %s removes no machine and no zone", loss.Removal.Scope, loss.Removal.Name)
 	}
 	return failure, nil, nil
 }
@@ -72,8 +72,8 @@
 }
 
 const (
-	// A shortfall lasts if it ends less than unendedMargin before the end of the span, and ends if it does so more than
-	// endedMargin before. Both are in seconds.
+	// A shortfall counts as lasting if it ends at most unendedMargin before the end of the span, and as ended if it ends more
+	// than endedMargin before the end. Both are in seconds.
 	unendedMargin = 1
 	endedMargin   = 3
 
@@ -131,7 +131,7 @@
 func (p *Planner) simulateLoss(result *LossResult, failure Failure) error {
 	noRetries := p.Fleet.Clone()
 	noRetries.Clients.Retries = 0
-	failed, err := p.runOnce(p.Fleet, failure, result.Factor)
+	withFailure, err := p.runOnce(p.Fleet, failure, result.Factor)
 	if err != nil {
 		return err
 	}
@@ -139,16 +139,16 @@
 	if err != nil {
 		return err
 	}
-	failedNoRetries, err := p.runOnce(noRetries, failure, result.Factor)
+	withoutRetriesResult, err := p.runOnce(noRetries, failure, result.Factor)
 	if err != nil {
 		return err
 	}
-	result.MachineFailures = failed.MachineFailures
-	result.Share = failed.Share(p.Goal.classIndex)
+	result.MachineFailures = withFailure.MachineFailures
+	result.Share = withFailure.Share(p.Goal.classIndex)
 	result.Met = result.Share >= p.Goal.share
-	result.FillRatio = float64(failed.Fills) / float64(max(1, baseline.Fills))
-	withRetries := p.shortfallOf(failed)
-	withoutRetries := p.shortfallOf(failedNoRetries)
+	result.FillRatio = float64(withFailure.Fills) / float64(max(1, baseline.Fills))
+	withRetries := p.shortfallOf(withFailure)
+	withoutRetries := p.shortfallOf(withoutRetriesResult)
 	result.LeastShare = withRetries.leastShare
 	result.ShortfallSeconds = withRetries.seconds
 	result.ShareOverTime = withRetries.shares
@@ -171,32 +171,32 @@
 
 const (
 	minSlotRequests   = 5    // a slot with fewer requests has no meaningful share
-	smoothedSlots     = 4    // slots that are added up to find the end of a shortfall, because one slot holds few requests
-	recoveryTolerance = 0.01 // shortfall of the share that still counts as reached
+	smoothedSlots     = 4    // slots that are added up to find the end of a shortfall, because a single slot has few requests
+	recoveryTolerance = 0.01 // difference to the wanted share at which it still counts as reached
 )
 
 // shortfall describes how far and how long the share of a run is below the share of the goal.
 type shortfall struct {
-	leastShare float64   // of any slot with enough requests
-	seconds    float64   // until the share of the goal is reached again for good
+	leastShare float64   // least share of a slot with enough requests
+	seconds    float64   // time until the share of the goal is reached permanently
 	shares     []float64 // of all slots
 }
 
 // shortfallOf returns the shortfall of a run.
 func (p *Planner) shortfallOf(result *Result) shortfall {
-	found := shortfall{leastShare: 1}
+	summary := shortfall{leastShare: 1}
 	for i, slot := range result.Slots {
-		found.shares = append(found.shares, slot.Share())
+		summary.shares = append(summary.shares, slot.Share())
 		if slot.Requests >= minSlotRequests {
-			found.leastShare = min(found.leastShare, slot.Share())
+			summary.leastShare = min(summary.leastShare, slot.Share())
 		}
 		var smoothed Tally
 		for _, next := range result.Slots[i:min(len(result.Slots), i+smoothedSlots)] {
 			smoothed.add(next)
 		}
 		if smoothed.Share() < p.Goal.share-recoveryTolerance {
-			found.seconds = float64(i+1) * SlotSpan.Seconds()
+			summary.seconds = float64(i+1) * SlotSpan.Seconds()
 		}
 	}
-	return found
+	return summary
 }
--- a/internal/capacity/loss_test.go
+++ b/internal/capacity/loss_test.go
@@ -8,9 +8,9 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// TestWorstRestartTriesAllSetsOrASample selects the worst restart of few caches, for which all sets are tried, and of many,
-// for which a sample is tried. The restart of a larger share never costs less.
-func TestWorstRestartTriesAllSetsOrASample(t *testing.T) {
+// TestWorstRestartExhaustiveAndSampled selects the worst restart of few caches, for which all sets must be tried, and of many
+// caches, for which a sample must be tried. The restart of a larger share must not cost less.
+func TestWorstRestartExhaustiveAndSampled(t *testing.T) {
 	network := testTopology(t)
 	planner := testPlanner(t, network, randomDemand(network, 60, 30*time.Second, 300, 1), "all 95% in its aim", 1)
 	lastCost := -1.0
@@ -18,13 +18,13 @@
 		set := planner.WorstRestart(share, 2)
 		selection := set.Selection
 		if !selection.Exhaustive || len(set.Machines) != selection.Restarted {
-			t.Errorf("a share of %g: %+v, want all sets tried, and as many machines as each has", share, set)
+			t.Errorf("share %g: got %+v, want all sets tried, and as many machines as a set has", share, set)
 		}
 		if selection.WorstCost < lastCost {
-			t.Errorf("a share of %g costs %g, a smaller one %g", share, selection.WorstCost, lastCost)
+			t.Errorf("share %g: got a cost of %g, want at least the cost of a smaller share, %g", share, selection.WorstCost, lastCost)
 		}
 		if selection.P95Cost > selection.WorstCost || selection.MedianCost > selection.P95Cost {
-			t.Errorf("a share of %g: percentiles out of order: %+v", share, selection)
+			t.Errorf("share %g: got %+v, want percentiles in ascending order", share, selection)
 		}
 		lastCost = selection.WorstCost
 	}
@@ -32,15 +32,16 @@
 	network.Kinds[0].CountByZone["west"], network.Kinds[0].CountByZone["east"] = 30, 20
 	set := planner.WorstRestart(0.2, 2)
 	if set.Selection.Exhaustive || set.Selection.SetsTried < sampledSets {
-		t.Errorf("of 50 caches: %+v, want a sample of at least %d sets", set.Selection, sampledSets)
+		t.Errorf("50 caches: got %+v, want a sample of at least %d sets", set.Selection, sampledSets)
 	}
 	if len(set.Machines) != 10 || !slices.IsSorted(set.Machines) {
-		t.Errorf("of 50 caches: machines %v, want 10 in order", set.Machines)
+		t.Errorf("50 caches: got machines %v, want 10 in order", set.Machines)
 	}
 }
 
-// TestSlowStartIsNamedAsCause restarts machines that would meet the goal if they were warm. Slow start is the cause.
-func TestSlowStartIsNamedAsCause(t *testing.T) {
+// TestLossNamesSlowStartAsCause restarts caches that would meet the goal if they were warm. Loss must name slow start as the
+// cause.
+func TestLossNamesSlowStartAsCause(t *testing.T) {
 	network := testTopology(t)
 	network.SlowStart.Floor, network.SlowStart.Ramp = 0.05, topology.Duration(12*time.Second)
 	demand := randomDemand(network, 60, 90*time.Second, 300, 2)
@@ -54,15 +55,15 @@
 		t.Fatal(err)
 	}
 	if result.Cause == nil || result.Cause.Limit.Resource != limitSlowStart {
-		t.Errorf("the cause is %+v, want slow start", result.Cause)
+		t.Errorf("cause: got %+v, want slow start", result.Cause)
 	}
 	if result.Break.Factor >= without.Factor {
-		t.Errorf("the goal breaks at %g under the loss, want less than without it, %g", result.Break.Factor, without.Factor)
+		t.Errorf("break under the loss: got %g, want less than without the loss, %g", result.Break.Factor, without.Factor)
 	}
 }
 
-// TestPartsAreCachedInEachZone reads a part in two zones. It is cached once in each of them.
-func TestPartsAreCachedInEachZone(t *testing.T) {
+// TestCachedAndReadCountPartsByZone reads a part in two zones. It must count as cached once in each of them.
+func TestCachedAndReadCountPartsByZone(t *testing.T) {
 	network := testTopology(t)
 	demand := DemandFromRequests([]Request{
 		{Object: 7, Bytes: 1000, Zone: 0},
@@ -71,13 +72,13 @@
 	})
 	cached, read := cachedAndRead(network, demand)
 	if read[0] != 1000 || read[1] != 2000 {
-		t.Errorf("%v bytes read by zone, want 1000 and 2000", read)
+		t.Errorf("bytes read by zone: got %v, want 1000 and 2000", read)
 	}
 	byZone := make([]float64, len(network.Zones))
 	for _, machine := range network.Machines() {
 		byZone[machine.Zone] += cached[machine.ID]
 	}
 	if byZone[0] != 1000 || byZone[1] != 1000 {
-		t.Errorf("%v bytes cached by zone, want 1000 in each", byZone[:2])
+		t.Errorf("bytes cached by zone: got %v, want 1000 in each", byZone[:2])
 	}
 }
--- a/internal/capacity/miss_ratio.go
+++ b/internal/capacity/miss_ratio.go
@@ -8,26 +8,26 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// MissRatioCurve is the share of reads that a least recently used (LRU) cache misses, for any size of the cache. It is
-// computed from stack distances (Mattson et al., Evaluation Techniques for Storage Hierarchies, 1970). The stack distance
-// of a read is the size of all different parts read since the last read of the same part, this part included.
+// MissRatioCurve is the share of reads that a least recently used (LRU) cache misses, as a function of the size of the cache.
+// It is computed from stack distances (Mattson et al., Evaluation Techniques for Storage Hierarchies, 1970). The stack distance
+// of a read is the total size of the distinct parts read since the last read of the same part, this part included.
 //
-// Of all parts only a sample is followed. A hash chooses it, so that a part is followed either at every read or at none.
+// Only a sample of the parts is tracked. A hash selects the parts, so that either all reads of a part are tracked or none.
 // Distances are scaled up by the share of the sample (Waldspurger et al., Efficient MRC Construction with SHARDS, FAST
 // 2015).
 //
-// The number of different parts followed bounds the memory that a MissRatioCurve takes.
+// The memory of a MissRatioCurve is bounded by the number of distinct parts that it tracks.
 type MissRatioCurve struct {
-	share     float64                    // share of the parts that is followed
-	hashBound uint64                     // parts with a hash up to this value are followed
+	share     float64                    // share of the parts that is tracked
+	hashBound uint64                     // parts with a hash up to this value are tracked
 	last      map[partKey]int32          // position of the last read of each part
-	bytes     []float64                  // by position; 0: the part was read again later
+	bytes     []float64                  // by position; 0 if the part was read again later
 	keys      []partKey                  // by position
 	sums      []float64                  // Fenwick tree over bytes
 	next      int32                      // position of the next read
-	all       readCount                  // reads, followed or not
-	first     readCount                  // followed first reads of a part
-	buckets   [distanceBuckets]readCount // followed other reads by stack distance
+	all       readCount                  // all reads, tracked or not
+	first     readCount                  // tracked reads that are the first read of a part
+	buckets   [distanceBuckets]readCount // other tracked reads, by stack distance
 }
 
 // readCount counts reads and their bytes.
@@ -47,8 +47,7 @@
 	positionsPerPart = 2.5  // number of positions for each part after a compaction
 )
 
-// NewMissRatioCurve returns an empty curve that follows a share of the parts. It follows all parts if the share is 1 or
-// more.
+// NewMissRatioCurve returns an empty curve that tracks a share of the parts. It tracks all parts if the share is 1 or more.
 func NewMissRatioCurve(share float64) *MissRatioCurve {
 	c := &MissRatioCurve{share: min(1, share), last: map[partKey]int32{}}
 	c.hashBound = math.MaxUint64
@@ -59,7 +58,7 @@
 	return c
 }
 
-// allocate makes empty lists and an empty tree for a number of positions.
+// allocate creates empty lists and an empty tree for a number of positions.
 func (c *MissRatioCurve) allocate(positions int) {
 	c.bytes = make([]float64, positions)
 	c.keys = make([]partKey, positions)
@@ -67,8 +66,8 @@
 }
 
 // Read adds one read and returns its stack distance in bytes, which is infinite at the first read of a part. Reads must be
-// added in their order. If the part is not in the sample, followed is false and the distance is not known.
-func (c *MissRatioCurve) Read(object uint64, part uint32, bytes float64) (distance float64, followed bool) {
+// added in the order in which they occur. If the part is not in the sample, tracked is false and the distance is unknown.
+func (c *MissRatioCurve) Read(object uint64, part uint32, bytes float64) (distance float64, tracked bool) {
 	c.all.add(bytes)
 	if routing.Hash(object, uint64(part)) > c.hashBound {
 		return 0, false
@@ -102,8 +101,8 @@
 	return min(distanceBuckets-1, max(0, int(bucket)))
 }
 
-// compact closes the gaps that repeated reads have left among the positions. The number of parts therefore bounds the
-// number of positions, not the number of reads.
+// compact removes the positions of parts that were read again later. The number of positions is therefore bounded by the
+// number of parts and not by the number of reads.
 func (c *MissRatioCurve) compact() {
 	bytes, keys := c.bytes, c.keys
 	c.allocate(max(minPositions, int(positionsPerPart*float64(len(c.last)))))
@@ -137,7 +136,7 @@
 	}
 }
 
-// sumBefore returns the sum of the bytes at all positions before one.
+// sumBefore returns the sum of the bytes at all positions before the given position.
 func (c *MissRatioCurve) sumBefore(position int32) (sum float64) {
 	for i := int(position); i > 0; i -= i & -i {
 		sum += c.sums[i]
@@ -145,9 +144,9 @@
 	return sum
 }
 
-// Misses returns the share of the bytes and the share of the reads that a cache with a memory in bytes misses. If the
-// sample has more or less than its share of the reads, the difference counts as reads at the least distance, because hot
-// parts cause it.
+// Misses returns the share of the bytes and the share of the reads that a cache misses with a memory of the given size in bytes.
+// If the sample has more or less than its share of the reads, the difference counts as reads at the least distance, because it
+// is caused by hot parts.
 func (c *MissRatioCurve) Misses(memory float64) (bytes, reads float64) {
 	if c.all.bytes == 0 {
 		return 0, 0
--- a/internal/capacity/miss_ratio_test.go
+++ b/internal/capacity/miss_ratio_test.go
@@ -7,26 +7,26 @@
 	"testing/quick"
 )
 
-// TestMissRatioCurveIsExactWithoutASample compares the distances that the tree computes with those of a plain list. They
-// are equal to the byte, also after compactions, whether a part has the same size at every read or not.
-func TestMissRatioCurveIsExactWithoutASample(t *testing.T) {
+// TestMissRatioCurveWithoutSampling compares the distances that the tree computes with those of a plain list. They must be equal
+// to the byte, also after compactions, and also if the size of a part changes between reads.
+func TestMissRatioCurveWithoutSampling(t *testing.T) {
 	for _, sizes := range []struct {
 		name string
-		of   func(object uint64, chance *rand.Rand) float64
+		of   func(object uint64, random *rand.Rand) float64
 	}{
 		{name: "one size for each part", of: func(object uint64, _ *rand.Rand) float64 { return float64(1 + object%997) }},
-		{name: "a new size at every read", of: func(_ uint64, chance *rand.Rand) float64 { return float64(1 + chance.IntN(1000)) }},
+		{name: "a new size at every read", of: func(_ uint64, random *rand.Rand) float64 { return float64(1 + random.IntN(1000)) }},
 	} {
 		t.Run(sizes.name, func(t *testing.T) {
 			check := func(seed uint64) bool {
-				chance := rand.New(rand.NewPCG(seed, 1))
+				random := rand.New(rand.NewPCG(seed, 1))
 				curve, plain := NewMissRatioCurve(1), &plainStackDistances{}
 				for range 4000 {
-					object := uint64(chance.IntN(1 + chance.IntN(900)))
-					bytes := sizes.of(object, chance)
+					object := uint64(random.IntN(1 + random.IntN(900)))
+					bytes := sizes.of(object, random)
 					got, _ := curve.Read(object, 0, bytes)
 					if want := plain.read(object, 0, bytes); got != want && math.Abs(got-want) > 1e-6 {
-						t.Logf("seed %d: distance %g, want %g", seed, got, want)
+						t.Logf("seed %d: got a distance of %g, want %g", seed, got, want)
 						return false
 					}
 				}
@@ -39,14 +39,14 @@
 	}
 }
 
-// TestMissRatioCurveFromASampleIsClose follows a sample of a tenth of the parts. It estimates the misses of any memory to
-// within four percentage points.
-func TestMissRatioCurveFromASampleIsClose(t *testing.T) {
+// TestMissRatioCurveWithSampling tracks a sample of a tenth of the parts. For every memory size, the estimated share of misses
+// must be within four percentage points of the exact share.
+func TestMissRatioCurveWithSampling(t *testing.T) {
 	for seed := range uint64(4) {
-		chance := rand.New(rand.NewPCG(seed, 1))
+		random := rand.New(rand.NewPCG(seed, 1))
 		full, sampled := NewMissRatioCurve(1), NewMissRatioCurve(0.1)
 		for range 200000 {
-			object := uint64(20000 * math.Pow(chance.Float64(), 2.5))
+			object := uint64(20000 * math.Pow(random.Float64(), 2.5))
 			full.Read(object, 0, 1000)
 			sampled.Read(object, 0, 1000)
 		}
@@ -54,18 +54,18 @@
 			_, want := full.Misses(memory)
 			_, got := sampled.Misses(memory)
 			if math.Abs(got-want) > 0.04 {
-				t.Errorf("seed %d, %g bytes: the sample misses %.3f, want about %.3f", seed, memory, got, want)
+				t.Errorf("seed %d, %g bytes: got a share of misses of %.3f, want about %.3f", seed, memory, got, want)
 			}
 		}
 	}
 }
 
-// BenchmarkMissRatioCurve measures one read: by the tree, by the tree with a sample, and by a plain list.
+// BenchmarkMissRatioCurve measures one read by the tree, by the tree with sampling, and by a plain list.
 func BenchmarkMissRatioCurve(b *testing.B) {
-	chance := rand.New(rand.NewPCG(1, 1))
+	random := rand.New(rand.NewPCG(1, 1))
 	objects := make([]uint64, 1<<16)
 	for i := range objects {
-		objects[i] = uint64(20000 * math.Pow(chance.Float64(), 2.5))
+		objects[i] = uint64(20000 * math.Pow(random.Float64(), 2.5))
 	}
 	for name, share := range map[string]float64{"tree": 1, "tenth": 0.1} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/capacity/need_search.go
+++ b/internal/capacity/need_search.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	maxMultiple      = 64.0   // greatest multiple of the current numbers of caches that is tried
-	maxZonesLowered  = 12     // with more zones only the common multiple is found, and no zone lowered by itself
-	maxCachesPerZone = 16_000 // maximum number of caches of a kind in a zone in a topology
-	maxBisections    = 12     // between a multiple that is too low and one that is enough
+	maxMultiple      = 64.0   // greatest multiple of the current number of caches that is tried
+	maxZonesLowered  = 12     // greatest number of zones at which each zone is lowered separately after the common multiple is found
+	maxCachesPerZone = 16_000 // maximum number of caches of a kind in a zone that a topology allows
+	maxBisections    = 12     // maximum number of bisections to find the least multiple
 )
 
 // needSearch is a search for the numbers of caches of one kind.
 type needSearch struct {
-	planner   *Planner
-	kind      int      // index of the kind in the topology
-	loss      *Loss    // nil: none
-	factor    float64  // multiple of the captured load
-	zones     []string // with caches of the kind now
-	need      Need     // found so far
-	last      *Result  // of the first run with the numbers tried last
-	lastShare float64  // of all runs with the numbers tried last
+	planner    *Planner
+	kind       int      // index of the kind in the topology
+	loss       *Loss    // nil: none
+	factor     float64  // multiple of the captured load
+	zones      []string // zones that now have caches of the kind
+	need       Need     // found so far
+	lastResult *Result  // result of the first run with the numbers of caches tried last
+	lastShare  float64  // share over all runs with the numbers of caches tried last
 }
 
-// run finds the need: first the least multiple for all zones together, then the number of each zone.
+// run finds the need. It first finds the least multiple for all zones together, and then lowers the number of each zone.
 func (s *needSearch) run() error {
 	kind := s.planner.Fleet.Kinds[s.kind]
 	s.need = Need{Kind: kind.Name, Condition: withoutLoss, Current: map[string]int{}}
@@ -41,7 +41,7 @@
 		}
 	}
 	if len(s.zones) == 0 {
-		return fmt.Errorf("kind %s stands in no zone", kind.Name)
+		return fmt.Errorf("kind %s has no caches in any zone", kind.Name)
 	}
 	if err := s.findMultiple(); err != nil {
 		return err
@@ -83,8 +83,8 @@
 	return nil
 }
 
-// bracketMultiple finds, by doubling, a multiple with which the goal does not hold and one with which it does. The lower
-// one is 0 if the goal holds with the current numbers.
+// bracketMultiple finds by doubling a multiple low with which the goal does not hold, and a multiple high with which it holds.
+// low is 0 if the goal holds with the current numbers.
 func (s *needSearch) bracketMultiple() (low, high float64, err error) {
 	for low, high = 0, 1; ; low, high = high, 2*high {
 		counts := s.scaled(high)
@@ -101,12 +101,12 @@
 	}
 }
 
-// lowerZone removes caches from one zone, one by one, as long as the goal holds.
+// lowerZone removes caches from one zone, one at a time, as long as the goal holds.
 func (s *needSearch) lowerZone(zone string) error {
 	for s.need.Required[zone] > 1 {
-		fewer := maps.Clone(s.need.Required)
-		fewer[zone]--
-		holds, err := s.try(fewer)
+		counts := maps.Clone(s.need.Required)
+		counts[zone]--
+		holds, err := s.try(counts)
 		if err != nil {
 			return err
 		}
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// try reports whether the goal holds with numbers of caches by zone, from one run for each seed. If it holds, these are
-// the required numbers found so far.
+// try reports whether the goal holds with the given numbers of caches by zone, from one run for each seed. If the goal holds,
+// try stores these numbers as the required numbers.
 func (s *needSearch) try(counts map[string]int) (holds bool, err error) {
 	planner := *s.planner
 	planner.Fleet = s.planner.Fleet.Clone()
@@ -138,7 +138,7 @@
 		return false, err
 	}
 	s.need.Runs += len(results)
-	s.last = results[0]
+	s.lastResult = results[0]
 	point := Points(results, planner.Goal)[0]
 	s.lastShare = point.Share
 	holds = planner.holds(point)
@@ -151,7 +151,7 @@
 
 // scaled returns a multiple of the current number of caches of each zone, rounded up.
 func (s *needSearch) scaled(multiple float64) map[string]int {
-	const rounding = 1e-9 // a rounding error of the multiplication must not add a cache
+	const rounding = 1e-9 // prevents that a rounding error of the multiplication adds a cache
 	counts := map[string]int{}
 	for _, zone := range s.zones {
 		count := int(math.Ceil(multiple*float64(s.need.Current[zone]) - rounding))
@@ -160,8 +160,8 @@
 	return counts
 }
 
-// unmet returns the UnmetError after the numbers tried last. It names the limit that was fullest with them, other than the
-// cores of the caches, which are many by then.
+// unmet returns the UnmetError for the numbers of caches tried last. It names the limit that was fullest with these numbers.
+// It does not consider the cores of the caches, because there are many caches by then.
 func (s *needSearch) unmet(maxCaches int) error {
 	unmet := UnmetError{
 		Goal:      s.planner.Goal.String(),
@@ -169,14 +169,14 @@
 		Share:     s.lastShare,
 		MaxCaches: maxCaches,
 	}
-	for _, use := range s.last.Utilizations {
+	for _, use := range s.lastResult.Utilizations {
 		if use.What != limitCores && (unmet.Limit == nil || use.Used > unmet.Limit.Used) {
 			limit := utilizationOf(use)
 			unmet.Limit = &limit
 		}
 	}
 	if unmet.Limit != nil && unmet.Limit.Used < minSuspectUsed {
-		unmet.Limit = nil // no machine meets the objective, or the loss leaves no machine
+		unmet.Limit = nil // either no machine can meet the objective, or no machine is left after the loss
 	}
 	return unmet
 }
--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The planner, and how it runs simulations.
+// The planner and its simulated runs.
 
 import (
 	"errors"
@@ -9,11 +9,11 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// Runner simulates or measures the runs of several setups and returns their results in the order of the setups. It may do
-// several runs at the same time. The error is a ShortDemandError if the demand does not last for one of them.
+// Runner simulates or measures the runs of several setups and returns their results in the order of the setups. It may
+// execute several runs at the same time. The error is a ShortDemandError if the demand is too short for one of the runs.
 type Runner func(network *topology.Topology, demand *Demand, setups []Setup) ([]*Result, error)
 
-// RunSequentially is a Runner that simulates one run after the other.
+// RunSequentially is a Runner that simulates one run after another.
 func RunSequentially(network *topology.Topology, demand *Demand, setups []Setup) (results []*Result, err error) {
 	for _, setup := range setups {
 		result, err := Run(network, demand, setup)
@@ -31,15 +31,15 @@
 	Demand *Demand
 	Goal   *Goal
 	Runner Runner
-	Seeds  []uint64      // one run each, if a question needs several runs
-	Warmup time.Duration // of each run, before the counted span
+	Seeds  []uint64      // for questions that need several runs, one run for each seed
+	Warmup time.Duration // length of the warmup of each run, before the counted span
 	Span   time.Duration // length of the counted span
 
 	lastFocus  cachedFocus
 	lastBounds cachedBounds
 }
 
-// cachedBounds is the last result of Bounds, which reads the complete demand.
+// cachedBounds holds the last result of Bounds, which is expensive because Bounds reads the complete demand.
 type cachedBounds struct {
 	network *topology.Topology
 	limits  []Limit
@@ -52,7 +52,7 @@
 	defaultSeeds  = 3
 )
 
-// NewPlanner returns a planner with the default lengths of runs. Its seeds are the given one and those that follow it.
+// NewPlanner returns a planner with the default lengths of runs. Its seeds are consecutive numbers that begin with seed.
 func NewPlanner(network *topology.Topology, demand *Demand, goal *Goal, runner Runner, seed uint64) *Planner {
 	p := &Planner{Fleet: network, Demand: demand, Goal: goal, Runner: runner, Warmup: defaultWarmup, Span: defaultSpan}
 	for i := range uint64(defaultSeeds) {
@@ -72,9 +72,9 @@
 // holds reports whether the goal holds at a point.
 func (p *Planner) holds(point Point) bool { return point.Share >= p.Goal.share }
 
-// runFactors does one run for each factor and seed, and adds the results to the break. The factors are multiples of the
-// captured load.
-func (p *Planner) runFactors(network *topology.Topology, failure Failure, found *Break, factors []float64, seeds []uint64) error {
+// runFactors executes one run for each factor and seed, and adds the results to the break found. The factors are multiples of
+// the captured load.
+func (p *Planner) runFactors(network *topology.Topology, failure Failure, breakpoint *Break, factors []float64, seeds []uint64) error {
 	part := p.focusOn(network, failure)
 	var setups []Setup
 	for _, factor := range factors {
@@ -91,16 +91,16 @@
 	if err != nil {
 		return err
 	}
-	found.Results = append(found.Results, results...)
-	found.Points = Points(found.Results, p.Goal)
+	breakpoint.Results = append(breakpoint.Results, results...)
+	breakpoint.Points = Points(breakpoint.Results, p.Goal)
 	return nil
 }
 
-// runFactorsWithin does one run, with the first seed, for each factor for which the capture is long enough. It filters the
-// factors in place. The error is a ShortDemandError if the capture is too short for all of them.
-func (p *Planner) runFactorsWithin(network *topology.Topology, failure Failure, found *Break, factors []float64) error {
+// runFactorsWithin executes one run, with the first seed, for each factor for which the capture is long enough. It removes the
+// other factors from the slice in place. The error is a ShortDemandError if the capture is too short for all factors.
+func (p *Planner) runFactorsWithin(network *topology.Topology, failure Failure, breakpoint *Break, factors []float64) error {
 	for {
-		err := p.runFactors(network, failure, found, factors, p.Seeds[:1])
+		err := p.runFactors(network, failure, breakpoint, factors, p.Seeds[:1])
 		var short ShortDemandError
 		if !errors.As(err, &short) {
 			return err
@@ -117,7 +117,7 @@
 	}
 }
 
-// isShortDemand reports whether an error says that the capture is too short for a run.
+// isShortDemand reports whether an error is or wraps a ShortDemandError.
 func isShortDemand(err error) bool {
 	var short ShortDemandError
 	return errors.As(err, &short)
--- a/internal/capacity/points.go
+++ b/internal/capacity/points.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The share of a goal at each load.
+// Shares of a goal by load.
 
 import (
 	"cmp"
@@ -12,14 +12,14 @@
 type Point struct {
 	Factor          float64 `json:"factor"` // multiple of the captured load
 	Rate            float64 `json:"rate"`   // offered requests a second
-	Share           float64 `json:"share"`  // of the requests, answered within the latency objective
+	Share           float64 `json:"share"`  // of the requests that are answered within the latency objective
 	Requests        int     `json:"asked"`
 	Rejected        int     `json:"denied"`
 	Late            int     `json:"late"`
 	MachineFailures int     `json:"falls"`
 }
 
-// add adds the result of a run. The tally counts those of its requests that the goal is about.
+// add adds the result of a run. The tally counts the requests of the run to which the goal applies.
 func (p *Point) add(result *Result, tally Tally) {
 	met := p.Share*float64(p.Requests) + float64(tally.Met)
 	p.Share = met / float64(max(1, p.Requests+tally.Requests))
--- a/internal/capacity/restart_cost.go
+++ b/internal/capacity/restart_cost.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The estimated cost of a restart of caches.
+// Estimation of the cost of a restart of caches.
 
 import (
 	"slices"
@@ -9,21 +9,21 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// restartCosts estimates the cost of a restart of caches: the core seconds of work for which there is no capacity while
-// they are in slow start. Such work is the load on their home documents beyond their own capacity and the spare capacity
-// of the other caches, or the reads that wait for fills through the link of the zone. Costs are estimated zone by zone,
-// without queueing.
+// restartCosts estimates the cost of a restart of caches. The cost is the work, in core seconds, for which there is no capacity
+// while these caches are in slow start. This is either the load for their home documents that exceeds their own capacity and
+// the spare capacity of the other caches, or the reads that wait for fills over the link of the zone. Costs are estimated
+// zone by zone and without queueing.
 type restartCosts struct {
 	slowStart topology.SlowStart
 	zones     []zoneCapacity
 	caches    []cacheCapacity // in the order of the list for which the costs are computed
 }
 
-// cacheCapacity is what the restart of a cache, or of several caches of a zone, takes away.
+// cacheCapacity is the capacity of a cache that restarts, or the sum for several caches of a zone.
 type cacheCapacity struct {
 	zone        int
 	cores       float64
-	load        float64 // core seconds a second, for its home documents
+	load        float64 // core seconds a second for its home documents
 	cachedBytes float64 // size of its copies
 }
 
@@ -31,23 +31,23 @@
 type zoneCapacity struct {
 	cores              float64
 	load               float64 // core seconds a second
-	freeLink           float64 // bytes a second of the link that fills leave free without a restart
-	coreSecondsPerByte float64 // work for each byte that is read
+	freeLink           float64 // bytes a second of the link that fills do not use without a restart
+	coreSecondsPerByte float64 // work for each byte read
 }
 
 const (
 	costStep = 250 * time.Millisecond // time step of the estimate
 
-	// movedWorkCost is the share of work that counts as cost although other caches have capacity for it. It makes a
-	// difference between sets of caches that cost nothing else.
+	// movedWorkCost is the share of the work taken over by other caches that counts as cost. It orders sets of caches that
+	// have no other cost.
 	movedWorkCost = 0.01
 
 	minRampSeconds        = 1e-6  // avoids a division by zero if slow start takes no time
 	minCoreSecondsPerByte = 1e-12 // avoids a division by zero in a zone without load
 )
 
-// newRestartCosts returns the costs for sets of the given caches. It computes loads, copies and spare link capacity from
-// Bounds at a multiple of the captured load.
+// newRestartCosts returns the restartCosts for sets of the given caches. It computes the loads and the free capacity of the
+// links by Bounds at a multiple of the captured load, and the copies from the demand.
 func newRestartCosts(planner *Planner, caches []topology.Machine, factor float64) *restartCosts {
 	network := planner.Fleet
 	costs := &restartCosts{slowStart: network.SlowStart, zones: make([]zoneCapacity, len(network.Zones))}
@@ -91,7 +91,8 @@
 	return cores, links
 }
 
-// cachedAndRead returns for each cache the size of the different parts whose home it is, and for each zone the bytes read.
+// cachedAndRead returns for each cache the total size of the distinct parts of which it is the home node, and for each zone the
+// bytes read.
 func cachedAndRead(network *topology.Topology, demand *Demand) (cached map[uint32]float64, read []float64) {
 	cached = map[uint32]float64{}
 	read = make([]float64, len(network.Zones))
@@ -100,7 +101,7 @@
 		zone int
 		part partKey
 	}
-	seen := map[zonePart]bool{} // each zone has a home of its own for a part
+	seen := map[zonePart]bool{} // each zone has its own home node for a part
 	for i := range demand.Requests {
 		request := &demand.Requests[i]
 		zone := network.ServingZone(int(request.Zone), nil)
@@ -137,18 +138,18 @@
 	return cost
 }
 
-// addZone adds the cost of the caches that restart in one zone to a cost and returns the sum. It adds term by term, one for
-// each step of slow start, because a sum of floats depends on the order of its terms.
+// addZone adds the cost of the caches that restart in one zone to a cost and returns the sum. It adds the cost of each time
+// step separately, because a sum of floats depends on the order of its terms.
 func (c *restartCosts) addZone(cost float64, lost *cacheCapacity) float64 {
 	zone := c.zones[lost.zone]
 	floor := float64(c.slowStart.Floor)
 	rampSeconds := max(minRampSeconds, c.slowStart.Ramp.Seconds())
-	unfilled := lost.cachedBytes // of the lost copies
+	unfilled := lost.cachedBytes // bytes of the lost copies that are not filled again yet
 	for at := time.Duration(0); at < c.slowStart.Ramp.Duration()+costStep; at += costStep {
 		capacityShare := min(1, floor+(1-floor)*at.Seconds()/rampSeconds)
 		capacity := zone.cores - lost.cores + lost.cores*capacityShare
 		withoutCores := max(0, zone.load-capacity)
-		// Reads of the lost copies wait until the copies are filled again.
+		// Reads of lost copies wait until these are filled again.
 		wanted := lost.load / max(minCoreSecondsPerByte, zone.coreSecondsPerByte) * unfilled / max(1, lost.cachedBytes)
 		waiting := max(0, wanted-zone.freeLink) * zone.coreSecondsPerByte
 		unfilled = max(0, unfilled-min(wanted, zone.freeLink)*costStep.Seconds())
--- a/internal/capacity/result.go
+++ b/internal/capacity/result.go
@@ -9,12 +9,12 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// Tally counts the requests of clients by outcome. A request counts once, however often its client sent it, except in
-// Retries.
+// Tally counts the requests of clients by outcome. A request and its retries count once, except that Retries counts each
+// retry.
 type Tally struct {
 	Requests int `json:"asked"`
 	Met      int `json:"met"`    // answered within the latency objective
-	Late     int `json:"late"`   // answered after it
+	Late     int `json:"late"`   // answered after the latency objective
 	Rejected int `json:"denied"` // rejected, with no retry left
 	Failed   int `json:"failed"` // failed; may have been executed
 	Retries  int `json:"retries"`
@@ -38,14 +38,14 @@
 	t.Retries += other.Retries
 }
 
-// Result is the result of one run. A request belongs to the time at which its client first sent it.
+// Result is the result of one run. Requests are assigned to the time at which the client first sent them.
 type Result struct {
 	Factor          float64 // multiple of the captured load
 	Rate            float64 // offered requests a second
 	Classes         []Tally // by request class
 	Slots           []Tally // of all request classes, by slot of the counted span, each SlotSpan long
 	Utilizations    []simulation.Use
-	MachineFailures int           // number of failures, without those that the setup asks for
+	MachineFailures int           // number of machine failures, except those of the setup
 	Fills           int           // fills completed since the counted span began
 	Span            time.Duration // length of the counted span
 }
@@ -67,8 +67,8 @@
 	return tally
 }
 
-// Count adds the outcome of a request. The client first sent it at the time sent, and it ended at the time ended. Both are
-// relative to the beginning of the counted span. A request sent outside the span is not counted.
+// Count adds the outcome of a request that the client first sent at the time sent, and that ended at the time ended. Both times
+// are relative to the beginning of the counted span. A request sent outside the span is not counted.
 func (r *Result) Count(network *topology.Topology, request *Request, sent, ended time.Duration, outcome Outcome, retries int) {
 	if sent < 0 || sent >= r.Span {
 		return
@@ -102,5 +102,5 @@
 	Failed           // may have been executed
 )
 
-// String returns the outcome as measurements print it.
+// String returns the name of the outcome in the output of measurements.
 func (o Outcome) String() string { return [...]string{"served", "denied", "failed"}[o] }
--- a/internal/capacity/run.go
+++ b/internal/capacity/run.go
@@ -1,6 +1,6 @@
 package capacity
 
-// Simulated runs: how one begins, and the requests of clients.
+// Simulated runs: their start, and the requests of clients.
 
 import (
 	"time"
@@ -11,21 +11,22 @@
 )
 
 const (
-	// drainTime is how long a run continues after its counted span, so that requests in flight can end.
+	// drainTime is the time for which a run continues after its counted span, so that requests in flight can end.
 	drainTime = 5 * time.Second
 
 	// seedStride is the difference between the seeds of two directors of a run: 2^64 divided by the golden ratio.
 	seedStride = 0x9e3779b97f4a7c15
 )
 
-// Run simulates one run: directors of package routing decide on the demand, and the machines of package simulation carry
-// out their decisions. Run is deterministic. The error is a ShortDemandError if the demand does not last for the run.
+// Run simulates one run: directors of package routing decide on the requests of the demand, and the machines of package
+// simulation carry out their decisions. Run is deterministic. The error is a ShortDemandError if the demand is too short for
+// the run.
 func Run(network *topology.Topology, demand *Demand, setup Setup) (*Result, error) {
 	before, requests, warmup, span, err := demand.Window(setup.Factor, setup.Warmup, setup.Span)
 	if err != nil {
 		return nil, err
 	}
-	simulated := &simulationRun{
+	run := &simulationRun{
 		network:  network,
 		machines: network.Machines(),
 		setup:    setup,
@@ -37,14 +38,14 @@
 		lost:     make([]bool, len(network.Zones)),
 		result:   &Result{Factor: setup.Factor, Classes: make([]Tally, len(network.Classes)), Span: span},
 	}
-	simulated.result.Rate = float64(len(requests)) / simulated.end.Seconds()
-	simulated.narrowLinks()
+	run.result.Rate = float64(len(requests)) / run.end.Seconds()
+	run.narrowLinks()
 	for _, cached := range InitialCopies(network, before) {
-		simulated.world.Insert(cached.Node, cached.Object, cached.Part, cached.Bytes, cached.CachePriority, cached.FilledAt)
+		run.world.Insert(cached.Node, cached.Object, cached.Part, cached.Bytes, cached.CachePriority, cached.FilledAt)
 	}
-	simulated.startDirectors()
-	simulated.run()
-	return simulated.result, nil
+	run.startDirectors()
+	run.run()
+	return run.result, nil
 }
 
 // simulationRun is the state of one simulated run.
@@ -61,15 +62,15 @@
 	timers        timerQueue
 	byZone        [][]*simulatedDirector // directors by zone
 	directors     []*simulatedDirector   // all of them, by index
-	attempts      map[uint64]*attempt    // in flight at machines, by the request id of the model
+	attempts      map[uint64]*attempt    // attempts in flight at machines, by the request id in the model
 	attemptsBegun uint64
-	lost          []bool // by zone: its directors are lost
+	lost          []bool // whether the directors of a zone are lost, by zone
 	events        uint64 // number of timers set and requests sent; orders timers, and varies the choice of a director
 	result        *Result
 	spanBegin     simulation.Snapshot // counters of the machines when the counted span begins
 }
 
-// startDirectors starts the directors of all zones that serve a client, before or after the failure.
+// startDirectors starts the directors of all zones that serve a client before or after the failure.
 func (r *simulationRun) startDirectors() {
 	serves := make([]bool, len(r.network.Zones))
 	for i := range r.requests {
@@ -93,15 +94,15 @@
 	}
 }
 
-// startDirector starts another director in a zone.
+// startDirector starts one more director in a zone.
 func (r *simulationRun) startDirector(zone int) *simulatedDirector {
 	index := len(r.directors)
 	seed := r.setup.Seed + uint64(index)*seedStride
-	started := &simulatedDirector{run: r, zone: zone, open: map[uint32]*openRequest{}}
-	started.director = routing.New(r.network.Settings(zone, index, seed), started)
-	started.director.UpdateEndpoints(0, r.endpointList(nil, zone), true)
-	r.directors = append(r.directors, started)
-	return started
+	newDirector := &simulatedDirector{run: r, zone: zone, open: map[uint32]*openRequest{}}
+	newDirector.director = routing.New(r.network.Settings(zone, index, seed), newDirector)
+	newDirector.director.UpdateEndpoints(0, r.endpointList(nil, zone), true)
+	r.directors = append(r.directors, newDirector)
+	return newDirector
 }
 
 // beginSpan begins the counted span. The failure of the setup happens at this time.
@@ -125,8 +126,8 @@
 	r.publishChanges()
 }
 
-// arrive sends the request of a client to a director of the zone that serves the client. The parameter retries is the
-// number of retries, this one included.
+// arrive passes the request of a client to a director of the zone that serves the client. The parameter retries is the number
+// of times that the client has retried the request, including this time.
 func (r *simulationRun) arrive(request *Request, retries int) {
 	zoneLost := func(zone int) bool { return r.lost[zone] }
 	if r.setup.Failure.ClientsLost && zoneLost(int(request.Zone)) {
@@ -140,11 +141,11 @@
 	r.events++
 	directors := r.byZone[zone]
 	hash := routing.Hash(r.setup.Seed, uint64(request.At), request.Object, r.events)
-	chosen := directors[hash%uint64(len(directors))]
-	chosen.receive(request, retries)
+	director := directors[hash%uint64(len(directors))]
+	director.receive(request, retries)
 }
 
-// count adds the outcome of a request that its client does not retry.
+// count adds the final outcome of a request to the result.
 func (r *simulationRun) count(open *openRequest, outcome Outcome) {
 	sent, ended := open.request.At-r.warmup, r.now-r.warmup
 	r.result.Count(r.network, open.request, sent, ended, outcome, open.retries)
--- a/internal/capacity/run_loop.go
+++ b/internal/capacity/run_loop.go
@@ -4,18 +4,19 @@
 
 import "time"
 
-// step is what a run does next.
+// step is the kind of the next step of a run.
 type step uint8
 
 const (
-	stepEnd     step = iota // nothing is left, or the time is over
+	stepEnd     step = iota // no step is left before the end of the run
 	stepArrival             // a client sends a request
 	stepTimer               // a timer is due
 	stepModel               // an event of the simulated machines is due
 )
 
-// nextStep returns the earliest step before a time, and when it is due. An event of the machines comes before an arrival or
-// a timer of the same time, and an arrival before a timer. If no step is left it returns stepEnd and the given time.
+// nextStep returns the earliest step before the time before, and the time at which it is due. Of steps with the same time, an
+// event of the machines comes first, then an arrival, then a timer. If no step is left, nextStep returns stepEnd and the time
+// before.
 func (r *simulationRun) nextStep(before time.Duration) (at time.Duration, next step) {
 	at, next = before, stepEnd
 	if r.arrived < len(r.requests) && r.requests[r.arrived].At < at {
@@ -31,7 +32,7 @@
 }
 
 // run simulates until all requests have arrived and no event is left, or until drainTime after the counted span. Requests
-// that have no response then fail.
+// without a response at that time fail.
 func (r *simulationRun) run() {
 	r.after(r.warmup, r.beginSpan)
 	for {
@@ -60,25 +61,25 @@
 	}
 }
 
-// fire handles a due timer. Timers of lost directors are ignored.
-func (r *simulationRun) fire(due timer) {
+// fire handles a timer that is due. It ignores timers of lost directors.
+func (r *simulationRun) fire(expired timer) {
 	switch {
-	case due.action != nil:
-		due.action()
-	case !due.director.lost:
-		due.director.director.HandleTimer(r.now, due.token)
+	case expired.action != nil:
+		expired.action()
+	case !expired.director.lost:
+		expired.director.director.HandleTimer(r.now, expired.token)
 	}
 }
 
-// after schedules an action for when a time has passed.
+// after schedules an action that runs after the time wait.
 func (r *simulationRun) after(wait time.Duration, action func()) {
 	r.setTimer(wait, timer{action: action})
 }
 
-// setTimer adds a timer that is due when a time has passed. A negative time counts as 0.
-func (r *simulationRun) setTimer(wait time.Duration, set timer) {
+// setTimer adds a timer that is due after the time wait. A negative wait counts as 0.
+func (r *simulationRun) setTimer(wait time.Duration, newTimer timer) {
 	r.events++
-	set.at = r.now + max(0, wait)
-	set.order = r.events
-	r.timers.push(set)
+	newTimer.at = r.now + max(0, wait)
+	newTimer.order = r.events
+	r.timers.push(newTimer)
 }
--- a/internal/capacity/run_machines.go
+++ b/internal/capacity/run_machines.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The simulated machines of a run, as its directors learn of them.
+// Communication between the simulated machines of a run and its directors: responses and endpoint lists.
 
 import (
 	"time"
@@ -10,7 +10,7 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// narrowLinks reduces the links of machines by the load of the zones that are not simulated.
+// narrowLinks reduces the link rates of machines by the load of the zones that are not simulated.
 func (r *simulationRun) narrowLinks() {
 	for i, share := range r.setup.ForeignLinkShares {
 		if share > 0 {
@@ -39,18 +39,18 @@
 	r.publishChanges()
 }
 
-// outcomeOf returns the outcome of an attempt, for its director, from the response of the model.
-func (r *simulationRun) outcomeOf(ended *attempt, response simulation.Response) routing.Outcome {
+// outcomeOf converts the response of the model to the outcome of an attempt for its director.
+func (r *simulationRun) outcomeOf(attempt *attempt, response simulation.Response) routing.Outcome {
 	outcome := routing.Outcome{
-		Attempt:    ended.number,
-		Duration:   r.now - ended.startedAt,
+		Attempt:    attempt.number,
+		Duration:   r.now - attempt.startedAt,
 		SourceWait: response.Waited,
 		Fill:       response.Fill,
 	}
 	switch response.Status {
 	case simulation.Served:
 		outcome.Result = routing.Served
-		outcome.SendTime = ended.sendTime
+		outcome.SendTime = attempt.sendTime
 	case simulation.Missing:
 		outcome.Result = routing.NotCached
 	case simulation.Rejected:
@@ -64,7 +64,7 @@
 }
 
 // publishChanges sends an endpoint list of the machines that have changed to all directors, after the delay of discovery.
-// The list has the state of the machines at the time of its arrival.
+// The list contains the states of the machines at the time when the directors receive it.
 func (r *simulationRun) publishChanges() {
 	changed := r.world.Changed()
 	if len(changed) == 0 {
@@ -84,9 +84,9 @@
 	})
 }
 
-// endpointList returns the endpoint list that the directors of a zone receive now, of the machines with the given ids, or of
-// all machines if ids is nil. It leaves out the caches of other zones. A director never chooses them, and with a hundred
-// zones it would keep records of all.
+// endpointList returns the endpoint list that the directors of a zone receive now. The list contains the machines with the given
+// ids, or all machines if ids is nil. It does not contain the caches of other zones: a director never chooses them, but
+// would store records of all of them, which are many with a hundred zones.
 func (r *simulationRun) endpointList(ids []uint32, zone int) (list []routing.Endpoint) {
 	wanted := map[uint32]bool{}
 	for _, id := range ids {
--- a/internal/capacity/run_test.go
+++ b/internal/capacity/run_test.go
@@ -10,16 +10,16 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// TestEveryRequestIsCountedOnce simulates random demands with random failures. Each request of the counted span is counted
-// once.
-func TestEveryRequestIsCountedOnce(t *testing.T) {
+// TestRunCountsEveryRequestOnce simulates random demands with random failures. Each request of the counted span must be counted
+// exactly once.
+func TestRunCountsEveryRequestOnce(t *testing.T) {
 	network := testTopology(t)
 	check := func(seed uint64) bool {
-		chance := rand.New(rand.NewPCG(seed, 2))
-		demand := randomDemand(network, 50+100*chance.Float64(), 25*time.Second, 50+chance.IntN(800), seed)
+		random := rand.New(rand.NewPCG(seed, 2))
+		demand := randomDemand(network, 50+100*random.Float64(), 25*time.Second, 50+random.IntN(800), seed)
 		// At the lowest rate a run has 275 requests, more than minRunRequests.
-		setup := Setup{Factor: 0.5 + chance.Float64()*1.5, Seed: seed, Warmup: time.Second, Span: 10 * time.Second}
-		setup.Failure = randomFailure(network, chance)
+		setup := Setup{Factor: 0.5 + random.Float64()*1.5, Seed: seed, Warmup: time.Second, Span: 10 * time.Second}
+		setup.Failure = randomFailure(network, random)
 		result, err := Run(network, demand, setup)
 		if err != nil {
 			t.Log(err)
@@ -38,11 +38,11 @@
 		}
 		all := result.Tally(allClassesIndex)
 		if all.Requests != want {
-			t.Logf("seed %d: %d requests counted, want %d", seed, all.Requests, want)
+			t.Logf("seed %d: got %d requests, want %d", seed, all.Requests, want)
 			return false
 		}
 		if outcomes := all.Met + all.Late + all.Rejected + all.Failed; outcomes != all.Requests {
-			t.Logf("seed %d: %d outcomes of %d requests: %+v", seed, outcomes, all.Requests, all)
+			t.Logf("seed %d: got %d outcomes, want one for each of %d requests: %+v", seed, outcomes, all.Requests, all)
 			return false
 		}
 		return true
@@ -52,25 +52,26 @@
 	}
 }
 
-// randomFailure restarts and removes some machines other than the origin, and loses a zone in one of three cases.
-func randomFailure(network *topology.Topology, chance *rand.Rand) (failure Failure) {
+// randomFailure returns a failure that restarts and removes some machines other than the origin. In one of three cases it also
+// contains the loss of a zone.
+func randomFailure(network *topology.Topology, random *rand.Rand) (failure Failure) {
 	machines := network.Machines()
 	for _, machine := range machines[:len(machines)-1] {
-		switch chance.IntN(6) {
+		switch random.IntN(6) {
 		case 0:
 			failure.Restarted = append(failure.Restarted, machine.ID)
 		case 1:
 			failure.Removed = append(failure.Removed, machine.ID)
 		}
 	}
-	if chance.IntN(3) == 0 {
-		failure.LostZones = []int{chance.IntN(2)}
+	if random.IntN(3) == 0 {
+		failure.LostZones = []int{random.IntN(2)}
 	}
 	return failure
 }
 
-// TestSameSeedSameAnswer asks two planners with the same seed. Their answers are the same.
-func TestSameSeedSameAnswer(t *testing.T) {
+// TestAnswerDeterministicForSeed compares the answers of two planners with the same seed. They must be equal.
+func TestAnswerDeterministicForSeed(t *testing.T) {
 	const goal = "all 95% in its aim also while a fifth returns cold"
 	network := testTopology(t)
 	demand := randomDemand(network, 60, 40*time.Second, 300, 1)
@@ -83,7 +84,7 @@
 		t.Fatal(err)
 	}
 	for _, compared := range []struct {
-		what          string
+		name          string
 		first, second any
 	}{
 		{"points of the break", first.FirstBreak.Points, second.FirstBreak.Points},
@@ -92,7 +93,7 @@
 		{"break under the loss", first.Losses[0].Break.Factor, second.Losses[0].Break.Factor},
 	} {
 		if !reflect.DeepEqual(compared.first, compared.second) {
-			t.Errorf("%s: %v, then %v", compared.what, compared.first, compared.second)
+			t.Errorf("%s: got %v and %v from the same seed, want equal values", compared.name, compared.first, compared.second)
 		}
 	}
 }
--- a/internal/capacity/setup.go
+++ b/internal/capacity/setup.go
@@ -1,23 +1,24 @@
 package capacity
 
-// What a run simulates, and for how long.
+// Parameters of a run.
 
 import "time"
 
 // Setup describes one run.
 type Setup struct {
 	Factor  float64       // multiple of the captured load
-	Seed    uint64        // of all random choices
-	Warmup  time.Duration // before the counted span
+	Seed    uint64        // for all random choices
+	Warmup  time.Duration // length of the warmup before the counted span
 	Span    time.Duration // length of the counted span
-	Failure Failure       // when the counted span begins
+	Failure Failure       // happens when the counted span begins
 
 	// ForeignLinkShares holds, for each machine in the order of topology.Topology.Machines, the share of its link that
-	// zones outside the simulation use at the captured load. nil: all zones are simulated.
+	// zones outside the simulation use at the captured load. It is nil if all zones are simulated.
 	ForeignLinkShares []float64
 }
 
-// MinRemainingLinkShare is the share of a link that the simulated zones can always use, however much the other zones use.
+// MinRemainingLinkShare is the share of a link that the simulated zones can always use, regardless of the load of the other
+// zones.
 const MinRemainingLinkShare = 0.02
 
 const (
@@ -28,15 +29,15 @@
 	minRunDuration = 4 * time.Second
 )
 
-// shorten cuts a run with a rate in requests a second to maxRunRequests, but not below minRunDuration. Warmup and span keep
-// their ratio.
+// shorten reduces the duration of a run so that it has at most maxRunRequests at the given rate in requests a second. The
+// duration is not reduced below minRunDuration, and the ratio of warmup and span does not change.
 func (s *Setup) shorten(rate float64) {
 	duration := (s.Warmup + s.Span).Seconds()
-	enough := maxRunRequests / rate
-	if enough >= duration {
+	maxDuration := maxRunRequests / rate
+	if maxDuration >= duration {
 		return
 	}
-	ratio := max(enough/duration, minRunDuration.Seconds()/duration)
+	ratio := max(maxDuration/duration, minRunDuration.Seconds()/duration)
 	s.Warmup = time.Duration(ratio * float64(s.Warmup))
 	s.Span = time.Duration(ratio * float64(s.Span))
 }
--- a/internal/capacity/simulated_director.go
+++ b/internal/capacity/simulated_director.go
@@ -1,6 +1,6 @@
 package capacity
 
-// A director in a simulated run, and the requests and attempts that it has open.
+// A director in a simulated run, with its open requests and attempts.
 
 import (
 	"time"
@@ -9,23 +9,23 @@
 	"indigochute.example/indigochute/internal/simulation"
 )
 
-// simulatedDirector is one director of a run. It implements routing.Executor, which carries out the decisions of the
-// routing.Director on the simulated machines.
+// simulatedDirector is one director of a run. As the routing.Executor of its routing.Director, it carries out decisions on the
+// simulated machines.
 type simulatedDirector struct {
 	run      *simulationRun
 	zone     int
 	director *routing.Director
 	open     map[uint32]*openRequest // by request id
 	lastID   uint32                  // id of the last request
-	lost     bool                    // its zone is lost; it makes no more decisions
+	lost     bool                    // the zone is lost, and the director makes no more decisions
 }
 
-// openRequest is the request of a client at a director. It is open until the client has a response and all attempts have
-// ended.
+// openRequest is the request of a client at a director. It is open until the client has received a response and all attempts
+// have ended.
 type openRequest struct {
 	request  *Request
-	retries  int  // number of retries, this one included
-	pending  bool // the client has no response yet, nor a rejection that it retries
+	retries  int  // number of times that the client has retried the request, including this time
+	pending  bool // the client has received neither a response nor a rejection that it retries
 	attempts []*attempt
 }
 
@@ -39,7 +39,7 @@
 	return true
 }
 
-// attempt is one attempt of a request: its forwarding to a machine.
+// attempt is one attempt to serve a request by forwarding it to a machine.
 type attempt struct {
 	director  *simulatedDirector
 	request   uint32 // id of the request at the director
@@ -51,8 +51,8 @@
 	ended     bool
 }
 
-// receive passes the request of a client to the director. The parameter retries is the number of retries, this one
-// included.
+// receive passes the request of a client to the director. The parameter retries is the number of times that the client has
+// retried the request, including this time.
 func (d *simulatedDirector) receive(request *Request, retries int) {
 	d.lastID++
 	d.open[d.lastID] = &openRequest{request: request, retries: retries, pending: true}
@@ -66,13 +66,13 @@
 	})
 }
 
-// StartAttempt forwards a request to the machine that the order names. If that is down, the connection fails in a step of
-// its own, because the director must not be called back during a decision.
+// StartAttempt forwards a request to the machine that the order names. If the machine is down, the failed connection is
+// reported in a separate step, because the director must not be called back during a decision.
 func (d *simulatedDirector) StartAttempt(id uint32, order routing.AttemptOrder) {
 	run, open := d.run, d.open[id]
 	run.attemptsBegun++
 	sendSeconds := float64(open.request.Bytes) / float64(run.network.Flow)
-	started := &attempt{
+	newAttempt := &attempt{
 		director:  d,
 		request:   id,
 		number:    len(open.attempts),
@@ -81,21 +81,21 @@
 		startedAt: run.now,
 		sendTime:  time.Duration(sendSeconds * float64(time.Second)),
 	}
-	open.attempts = append(open.attempts, started)
+	open.attempts = append(open.attempts, newAttempt)
 	if up, _, _ := run.world.Up(order.Node); !up {
 		run.after(0, func() {
-			d.attemptEnded(started, routing.Outcome{Attempt: started.number, Result: routing.ConnectFailed})
+			d.attemptEnded(newAttempt, routing.Outcome{Attempt: newAttempt.number, Result: routing.ConnectFailed})
 		})
 		return
 	}
-	run.attempts[started.modelID] = started
-	run.world.Submit(order.Node, modelRequest(started.modelID, open.request, order))
+	run.attempts[newAttempt.modelID] = newAttempt
+	run.world.Submit(order.Node, modelRequest(newAttempt.modelID, open.request, order))
 }
 
-// modelRequest returns the request of an attempt for the model. An order to fill from the machine itself means no fill
-// source.
+// modelRequest converts a request and the order of an attempt to a request for the model. If the order names the machine
+// itself as fill source, the request has no fill source.
 func modelRequest(id uint64, request *Request, order routing.AttemptOrder) simulation.Request {
-	submitted := simulation.Request{
+	result := simulation.Request{
 		ID:           id,
 		Class:        int(request.Class),
 		Object:       request.Object,
@@ -107,41 +107,41 @@
 		Revalidate:   order.Revalidate,
 	}
 	if order.Source != order.Node {
-		submitted.FillSource = order.Source
+		result.FillSource = order.Source
 	}
-	return submitted
+	return result
 }
 
-// CheckHealth does nothing. The model has no health checks, and the settings of its directors allow none.
+// CheckHealth does nothing. The model has no health checks, and the settings of the simulated directors do not allow them.
 func (d *simulatedDirector) CheckHealth(uint32) {}
 
-// CancelAttempt ends an attempt whose response is no longer needed. Its outcome is reported in a step of its own, because
-// the director must not be called back during a decision. An attempt that has ended is ignored.
+// CancelAttempt ends an attempt whose response is no longer needed. Its outcome is reported in a separate step, because the
+// director must not be called back during a decision. CancelAttempt ignores an attempt that has ended.
 func (d *simulatedDirector) CancelAttempt(id uint32, number int) {
 	open := d.open[id]
 	if open == nil || number >= len(open.attempts) || open.attempts[number].ended {
 		return
 	}
-	cancelled := open.attempts[number]
-	d.run.world.Cancel(cancelled.node, cancelled.modelID)
-	delete(d.run.attempts, cancelled.modelID)
+	attempt := open.attempts[number]
+	d.run.world.Cancel(attempt.node, attempt.modelID)
+	delete(d.run.attempts, attempt.modelID)
 	d.run.after(0, func() {
-		d.attemptEnded(cancelled, routing.Outcome{
-			Attempt:  cancelled.number,
+		d.attemptEnded(attempt, routing.Outcome{
+			Attempt:  attempt.number,
 			Result:   routing.Cancelled,
-			Duration: d.run.now - cancelled.startedAt,
+			Duration: d.run.now - attempt.startedAt,
 		})
 	})
 }
 
-// attemptEnded ends an attempt and reports its outcome to the director. The first success of a request is the response to
-// the client. An attempt that has ended is ignored.
-func (d *simulatedDirector) attemptEnded(ended *attempt, outcome routing.Outcome) {
-	if ended.ended {
+// attemptEnded ends an attempt and reports its outcome to the director. The first successful attempt of a request gives the
+// response to the client. attemptEnded ignores an attempt that has ended.
+func (d *simulatedDirector) attemptEnded(attempt *attempt, outcome routing.Outcome) {
+	if attempt.ended {
 		return
 	}
-	ended.ended = true
-	open := d.open[ended.request]
+	attempt.ended = true
+	open := d.open[attempt.request]
 	if d.lost || open == nil {
 		return
 	}
@@ -150,25 +150,25 @@
 		outcome.Final = true
 		d.respond(open, Served)
 	}
-	d.director.HandleOutcome(d.run.now, ended.request, outcome)
-	d.forget(ended.request, open)
+	d.director.HandleOutcome(d.run.now, attempt.request, outcome)
+	d.removeIfDone(attempt.request, open)
 }
 
-// respond gives the client its final response and counts it.
+// respond gives the client its final response and counts the outcome.
 func (d *simulatedDirector) respond(open *openRequest, outcome Outcome) {
 	open.pending = false
 	d.run.count(open, outcome)
 }
 
-// forget removes a request that has its response and no attempt in flight.
-func (d *simulatedDirector) forget(id uint32, open *openRequest) {
+// removeIfDone removes a request if it is no longer pending and has no attempt in flight.
+func (d *simulatedDirector) removeIfDone(id uint32, open *openRequest) {
 	if !open.pending && open.allEnded() {
 		delete(d.open, id)
 	}
 }
 
-// Reject rejects a request. The client retries after retryAfter, or after its own default time if that is 0, unless it has
-// no retry left or the retry would come after its timeout.
+// Reject rejects a request. The client retries after retryAfter or, if this is 0, after the default time of clients. It does not
+// retry if it has no retry left or the retry would come after its timeout.
 func (d *simulatedDirector) Reject(id uint32, retryAfter time.Duration) {
 	run, open := d.run, d.open[id]
 	wait := retryAfter
@@ -185,22 +185,22 @@
 		open.pending = false
 		run.after(wait, func() { run.arrive(request, open.retries+1) })
 	}
-	d.forget(id, open)
+	d.removeIfDone(id, open)
 }
 
 // Fail fails a request that may have been executed.
 func (d *simulatedDirector) Fail(id uint32) {
 	open := d.open[id]
 	d.respond(open, Failed)
-	d.forget(id, open)
+	d.removeIfDone(id, open)
 }
 
-// SetTimer sets a timer of the director, which gets the token back when the timer is due.
+// SetTimer sets a timer of the director. When the timer is due, the director is called with the token.
 func (d *simulatedDirector) SetTimer(wait time.Duration, token uint32) {
 	d.run.setTimer(wait, timer{director: d, token: token})
 }
 
-// failPending fails all requests that have no response yet. Their order does not matter, as they only add to counts.
+// failPending fails all pending requests. The order does not matter, because this only increases counters.
 func (d *simulatedDirector) failPending() {
 	for _, open := range d.open {
 		if open.pending {
--- a/internal/capacity/stack_distances_test.go
+++ b/internal/capacity/stack_distances_test.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// plainStackDistances computes the stack distances of a MissRatioCurve without a tree and without a sample, from a list with
-// the part read last in front. Tests and benchmarks compare MissRatioCurve with it.
+// plainStackDistances computes the stack distances of a MissRatioCurve without a tree and without sampling, from a list of parts
+// in the order of their last reads. It is the reference for the tests and benchmarks of MissRatioCurve.
 type plainStackDistances struct {
-	list []partKey           // the part read last first
+	list []partKey           // in descending order of the time of the last read
 	size map[partKey]float64 // at the last read
 }
 
--- a/internal/capacity/timers.go
+++ b/internal/capacity/timers.go
@@ -7,10 +7,10 @@
 // timer is a timer of a director, or an action of the run itself, that is due at a simulated time.
 type timer struct {
 	at       time.Duration
-	order    uint64             // of timers with the same time the one with the smallest order is due first
-	director *simulatedDirector // that set the timer; nil: action is called
-	token    uint32             // passed to SetTimer by the director
-	action   func()             // nil: a timer of a director
+	order    uint64             // of several timers with the same time, the one with the smallest order is due first
+	director *simulatedDirector // director that set the timer; nil if action is set
+	token    uint32             // token that the director passed to SetTimer
+	action   func()             // nil for a timer of a director
 }
 
 // before reports whether the timer is due before another.
@@ -21,13 +21,13 @@
 	return t.order < other.order
 }
 
-// timerQueue is a binary heap of timers, the earliest first. It replaces container/heap, which allocates memory for each
-// element: a run sets several timers for each request.
+// timerQueue is a binary heap of timers, the earliest first. It is used instead of container/heap, which allocates memory for
+// each element, because a run sets several timers for each request.
 type timerQueue struct{ list []timer }
 
 // push adds a timer.
-func (q *timerQueue) push(added timer) {
-	q.list = append(q.list, added)
+func (q *timerQueue) push(newTimer timer) {
+	q.list = append(q.list, newTimer)
 	for i := len(q.list) - 1; i > 0; {
 		parent := (i - 1) / 2
 		if !q.list[i].before(&q.list[parent]) {
@@ -46,7 +46,7 @@
 	return q.list[0].at, true
 }
 
-// pop removes the earliest timer. The queue must not be empty.
+// pop removes and returns the earliest timer. The queue must not be empty.
 func (q *timerQueue) pop() timer {
 	first, last := q.list[0], len(q.list)-1
 	q.list[0], q.list[last] = q.list[last], timer{}
--- a/internal/capacity/utilization.go
+++ b/internal/capacity/utilization.go
@@ -11,10 +11,10 @@
 	Name      string         `json:"name"` // of the machine or link
 	Resource  string         `json:"what"` // cores, link, fetches, director or cold start
 	Used      float64        `json:"used"` // share of the limit that was used
-	simulated simulation.Use // the record of the model, which identifies the limit
+	simulated simulation.Use // utilization as the model reports it, which identifies the limit
 }
 
-// utilizationOf returns the utilization that the model recorded.
+// utilizationOf converts a utilization of the model.
 func utilizationOf(use simulation.Use) Utilization {
 	return Utilization{Name: use.Name, Resource: use.What, Used: use.Used, simulated: use}
 }
--- a/internal/capacity/window.go
+++ b/internal/capacity/window.go
@@ -1,6 +1,6 @@
 package capacity
 
-// The requests of one run, cut out of the demand.
+// Extraction of the requests of one run from the demand.
 
 import (
 	"cmp"
@@ -10,7 +10,8 @@
 )
 
 const (
-	// minRunRequests and minRunSpan are the least requests and span of a run. Shares of fewer requests would be chance.
+	// minRunRequests and minRunSpan are the least number of requests and the shortest span of a run. The share of fewer
+	// requests would depend on chance.
 	minRunRequests = 200
 	minRunSpan     = 2 * time.Second
 
@@ -18,28 +19,28 @@
 	maxPrimingRequests = 40_000
 )
 
-// ShortDemandError says that a capture is too short for a run.
+// ShortDemandError reports that a capture is too short for a run.
 type ShortDemandError struct {
 	Factor   float64       // multiple of the captured load
 	Span     time.Duration // of the capture
 	Wanted   time.Duration // length of the run
-	Requests int           // number of requests that are left for the run
+	Requests int           // number of requests available for the run
 }
 
-// Error says how long the capture lasts at the load of the run, and how long the run should be.
+// Error returns the length of the capture at the load of the run, and the length and number of requests that the run needs.
 func (s ShortDemandError) Error() string {
-	const text = "at %.3g times its load the capture lasts %v and %v are wanted, with %d reqs at least: it holds %d; " +
-		"a longer one is needed"
+	const text = "at %.3g times its load the capture lasts %v, but the run needs %v with at least %d requests and has %d; " +
+		"a longer capture is needed"
 	lasts := time.Duration(float64(s.Span) / s.Factor).Round(100 * time.Millisecond)
 	return fmt.Sprintf(text, s.Factor, lasts, s.Wanted, minRunRequests, s.Requests)
 }
 
-// Window cuts the requests of a run out of the end of the demand, sped up by the factor. The run consists of the warmup,
-// whose outcomes are not counted, and the counted span. Its requests are returned in during, with times from 0. The
-// requests in before come earlier, have negative times and fill the caches.
+// Window returns the requests of a run, which it takes from the end of the demand and speeds up by the factor. The run consists
+// of the warmup, whose outcomes are not counted, and the counted span. The requests of the run are in during, with times from 0.
+// The requests in before precede the run, have negative times and serve to fill the caches.
 //
-// If the demand is short, the span is shortened first, then the warmup. The remaining lengths are returned. The error is a
-// ShortDemandError if less than minRunSpan or minRunRequests remains.
+// If the demand is too short, Window shortens the span first and then the warmup. It returns the resulting lengths. The error
+// is a ShortDemandError if these are less than minRunSpan, or if the run has fewer than minRunRequests.
 func (d *Demand) Window(factor float64, warmup, span time.Duration) (before, during []Request, leftWarmup, leftSpan time.Duration, err error) {
 	available := time.Duration(float64(d.Span) / factor)
 	wanted := warmup + span
--- a/internal/capacity/worst_restart.go
+++ b/internal/capacity/worst_restart.go
@@ -17,28 +17,28 @@
 	Selection RestartSelection
 }
 
-// RestartSelection describes how the machines of a restart were chosen among all sets of the same number of caches. Costs
-// are core seconds of work without capacity, estimated without queueing.
+// RestartSelection describes how the machines of a restart were chosen among all sets with the same number of caches. Costs
+// are estimated by restartCosts: work in core seconds for which there is no capacity.
 type RestartSelection struct {
 	Caches     int     `json:"of"`    // number of all caches
 	Restarted  int     `json:"count"` // number of caches in each set
 	SetsTried  int     `json:"sets"`
 	Exhaustive bool    `json:"exact"`  // all possible sets were tried
-	WorstCost  float64 `json:"worst"`  // of the set that was chosen
+	WorstCost  float64 `json:"worst"`  // cost of the chosen set
 	P95Cost    float64 `json:"p95"`    // 95th percentile over the sets tried
 	MedianCost float64 `json:"median"` // over the sets tried
 }
 
 const (
-	maxExhaustiveSets = 20_000 // if there are more sets, a sample is tried
+	maxExhaustiveSets = 20_000 // greatest number of sets at which all are tried; otherwise a sample is tried
 	sampledSets       = 2_000  // number of random sets in a sample
 
 	p95Percent = 95 // percentile of RestartSelection.P95Cost
 )
 
-// WorstRestart finds the caches whose restart costs most if a share of all caches restart together, empty and in slow
-// start, at a multiple of the captured load. It tries all sets if there are few, and a sample otherwise. There must be at
-// least one cache.
+// WorstRestart finds the set of caches whose restart has the highest cost. The caches of a set are a share of all caches and
+// restart together, empty and in slow start, at a multiple of the captured load. WorstRestart tries all sets if there are few,
+// and a sample otherwise. There must be at least one cache.
 func (p *Planner) WorstRestart(share, factor float64) RestartSet {
 	var caches []topology.Machine
 	for _, machine := range p.Fleet.Machines() {
@@ -53,7 +53,7 @@
 		combinations(len(caches), count, search.try)
 	} else {
 		search.tryRandom(p.Seeds[0], count)
-		search.tryZones(count, len(p.Fleet.Zones)) // a random set is hardly ever a zone that fails as a whole
+		search.tryZones(count, len(p.Fleet.Zones)) // random sets hardly ever consist of a whole zone
 	}
 	slices.Sort(search.triedCosts)
 	slices.Sort(search.machines)
@@ -69,7 +69,7 @@
 	}}
 }
 
-// worstRestartSearch is a search for the set of caches whose restart costs most.
+// worstRestartSearch is a search for the set of caches whose restart has the highest cost.
 type worstRestartSearch struct {
 	caches     []topology.Machine
 	costs      *restartCosts
@@ -78,7 +78,7 @@
 	machines   []uint32  // IDs of the worst set
 }
 
-// try estimates the cost of a set, given as indexes in w.caches.
+// try estimates the cost of a set, given as indexes in w.caches, and records the set if its cost is the highest so far.
 func (w *worstRestartSearch) try(chosen []int) {
 	cost := w.costs.cost(chosen)
 	w.triedCosts = append(w.triedCosts, cost)
@@ -136,8 +136,8 @@
 	return sets
 }
 
-// combinations calls visit with each subset of k out of n indexes, in lexicographic order. The function must not retain the
-// slice.
+// combinations calls visit with each subset of k out of n indexes, in lexicographic order. The function visit must not retain
+// the slice.
 func combinations(n, k int, visit func(chosen []int)) {
 	chosen := make([]int, k)
 	for i := range chosen {
@@ -145,7 +145,7 @@
 	}
 	for {
 		visit(chosen)
-		last := k - 1 // the last index that can still grow
+		last := k - 1 // position of the last index that can still grow
 		for last >= 0 && chosen[last] == n-k+last {
 			last--
 		}
