--- a/internal/testing/mixed/director_test.go
+++ b/internal/testing/mixed/director_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	director.Limit(conf)
+	director.SetRuntimeLimits(conf)
 	log := logrus.New()
 	log.SetOutput(&slowWriter{to: os.Stderr, chance: rand.New(rand.NewPCG(seed, 2))})
 	faults := plan(time.Duration(span) * time.Millisecond)
--- a/internal/topology/settings.go
+++ b/internal/topology/settings.go
@@ -44,7 +44,7 @@
 	}
 	settings.ParentSlowStart.Window = settings.CacheSlowStart.Window // directors have one overload window, for both caches and parents
 	for _, z := range t.Zones {
-		settings.Hub = append(settings.Hub, z.Hub)
+		settings.HubOfZone = append(settings.HubOfZone, z.Hub)
 		settings.Directors += z.Directors
 	}
 	for i := range t.Classes {
@@ -64,7 +64,7 @@
 		DedupWindow:      c.DedupWindow.Duration(),
 		FreshFor:         c.FreshFor.Duration(),
 		StaleGrace:       c.StaleGrace.Duration(),
-		SplitInParts:     c.Parts > 0,
+		Segmented:        c.Parts > 0,
 		Write:            c.Write,
 	}
 }
