--- a/internal/testing/emulator/attempt.go
+++ b/internal/testing/emulator/attempt.go
@@ -66,7 +66,7 @@
 		load.pool(a.director).forget(a)
 		isDirectorsFault := load.lostZones.Load() == nil && load.lateness.percentile99() < tolerance
 		if isDirectorsFault {
-			load.fleet.rules.violated("rule 1: req %s had no final answer within its client timeout", a.message.RequestID)
+			load.fleet.rules.violated("rule 1: request %s got no final response within its client timeout", a.message.RequestID)
 		}
 		load.finish(a.request, capacity.Failed, a.retries)
 	})
--- a/internal/testing/emulator/clientconn.go
+++ b/internal/testing/emulator/clientconn.go
@@ -25,7 +25,7 @@
 	// The pool's lock guards the fields below.
 	socket   net.Conn                  // nil until dialed
 	inFlight map[uint32]*clientAttempt // by message ID
-	lastID   uint32                    // of the messages sent
+	lastID   uint32                    // ID of the last message sent
 	ended    bool
 }
 
@@ -60,14 +60,14 @@
 	return true
 }
 
-// readResponses handles responses until the connection ends or sends anything else, which violates rule 1.
+// readResponses handles responses until the connection ends. Bytes that are not a response violate rule 1 and also end it.
 func (c *clientConn) readResponses(socket net.Conn) {
 	reader := bufio.NewReaderSize(socket, clientBufferSize)
 	for {
 		response, err := msgpack.ReadResponse(reader)
 		if err != nil {
 			if !isConnectionEnd(err) {
-				c.pool.load.fleet.rules.violated("rule 1: an answer that cannot be read: %v", err)
+				c.pool.load.fleet.rules.violated("rule 1: invalid response: %v", err)
 			}
 			break
 		}
@@ -96,9 +96,9 @@
 	case attempt != nil:
 		attempt.respond(response)
 	case neverSent:
-		rules.violated("rule 1: an answer to message %d, which was never asked", response.ID)
+		rules.violated("rule 1: response to message %d, which was never sent", response.ID)
 	default:
-		rules.violated("rule 1: a second answer, or one after the client timeout, to message %d", response.ID)
+		rules.violated("rule 1: second response, or response after the client timeout, to message %d", response.ID)
 	}
 }
 
--- a/internal/testing/emulator/clientpool.go
+++ b/internal/testing/emulator/clientpool.go
@@ -26,7 +26,7 @@
 	closed bool
 }
 
-// send queues an attempt on the connection with the fewest in flight, or on a new one. If that connection's queue is full
+// send queues an attempt on the connection with the fewest attempts in flight, or on a new connection. If that connection's queue is full
 // the request is not sent, and the attempt ends at its deadline.
 func (p *connectionPool) send(attempt *clientAttempt) {
 	p.mu.Lock()
@@ -66,7 +66,7 @@
 	return conn
 }
 
-// forget ends the wait for an attempt's response. A response that still arrives is a violation.
+// forget removes an attempt whose deadline has passed. A response to it that still arrives is a violation.
 func (p *connectionPool) forget(attempt *clientAttempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/testing/emulator/control.go
+++ b/internal/testing/emulator/control.go
@@ -53,8 +53,9 @@
 // Prime inserts cached copies into machines. The times of the copies count from now.
 func (f *Fleet) Prime(copies []capacity.CachedCopy) {
 	f.update(func(world *simulation.World) {
-		for _, copied := range copies {
-			world.Insert(copied.Node, copied.Object, copied.Part, copied.Bytes, copied.CachePriority, f.now()+copied.FilledAt)
+		for _, cachedCopy := range copies {
+			world.Insert(cachedCopy.Node, cachedCopy.Object, cachedCopy.Part, cachedCopy.Bytes, cachedCopy.CachePriority,
+				f.now()+cachedCopy.FilledAt)
 		}
 	})
 }
@@ -71,7 +72,7 @@
 	return uses
 }
 
-// Failures counts how often machines died: killed, restarted, or overloaded until they stopped.
+// Failures counts the failures of machines so far: kills, restarts, and crashes by overload.
 func (f *Fleet) Failures() (failures int) {
 	f.update(func(world *simulation.World) { failures = world.Failures() })
 	return failures
--- a/internal/testing/emulator/directors.go
+++ b/internal/testing/emulator/directors.go
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// StopDirectors has all directors of the fleet shut down gracefully, and waits for their end for directorEndTimeout each at most.
-// Their observers are notified of hardly any request after that.
+// StopDirectors shuts all directors of the fleet down gracefully, and waits for each one up to directorEndTimeout. After it
+// returns, observers may still be notified of a few requests.
 func (f *Fleet) StopDirectors() {
 	for _, instance := range f.directors {
 		instance.cancel()
@@ -71,7 +71,7 @@
 	}
 	settings, err := config.Parse(text, "", "")
 	if err != nil {
-		return fmt.Errorf("standin: the director's configuration: %w", err)
+		return fmt.Errorf("emulator: director configuration: %w", err)
 	}
 	process := director.New(settings, f.options.Log.WithField("name", settings.Name))
 	if f.options.NewObserver != nil {
@@ -98,8 +98,8 @@
 func (f *Fleet) NamedDirectorConfig(name string, zone, number int, listen string) ([]byte, error) {
 	kinds := []string{"cache", "parent", "origin"}
 	zones := []string{}
-	for _, described := range f.description.Zones {
-		zones = append(zones, described.Name)
+	for _, zoneDescription := range f.description.Zones {
+		zones = append(zones, zoneDescription.Name)
 	}
 	last, endpoints := f.discovery.snapshot()
 	seed := f.options.Seed + uint64(number)*hashMultiplier
--- a/internal/testing/emulator/discovery.go
+++ b/internal/testing/emulator/discovery.go
@@ -44,7 +44,7 @@
 	d := &discoveryService{fleet: fleet, addr: addrOf(listener), states: map[uint32]routing.State{}, published: make(chan struct{})}
 	snapshot := discovery.Event{Number: 1, Complete: true}
 	for _, machine := range fleet.machines {
-		snapshot.Endpoints = append(snapshot.Endpoints, d.announced(machine.ID))
+		snapshot.Endpoints = append(snapshot.Endpoints, d.announcedEndpoint(machine.ID))
 	}
 	d.events = append(d.events, snapshot)
 	context.AfterFunc(ctx, func() { listener.Close() })
@@ -52,9 +52,9 @@
 	return d, nil
 }
 
-// announced returns a machine's endpoint in the state that setState announced last, or ready if it announced none. The
+// announcedEndpoint returns a machine's endpoint in the last state that setState announced, or ready if there is none. The
 // caller holds d.mu once the service runs.
-func (d *discoveryService) announced(id uint32) discovery.Endpoint {
+func (d *discoveryService) announcedEndpoint(id uint32) discovery.Endpoint {
 	server := d.fleet.servers[id]
 	endpoint := discovery.Endpoint{ID: id, Addr: server.advertised, Zone: server.machine.Zone, Kind: server.machine.KindOf(),
 		State: routing.Ready, Capacity: 1}
@@ -64,10 +64,10 @@
 	return endpoint
 }
 
-// current returns a machine's endpoint as it is now: gone if the machine is down, and with its start time if it was
+// currentEndpoint returns a machine's endpoint as it is now: gone if the machine is down, and with its start time if it was
 // started after the fleet. The caller holds the fleet's lock and d.mu.
-func (d *discoveryService) current(id uint32) discovery.Endpoint {
-	endpoint := d.announced(id)
+func (d *discoveryService) currentEndpoint(id uint32) discovery.Endpoint {
+	endpoint := d.announcedEndpoint(id)
 	up, booted, bootedAt := d.fleet.world.Up(id)
 	if !up {
 		endpoint.State = routing.Gone
@@ -85,13 +85,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, machine := range d.fleet.machines {
-		endpoints = append(endpoints, d.current(machine.ID))
+		endpoints = append(endpoints, d.currentEndpoint(machine.ID))
 	}
 	return uint64(len(d.events)), endpoints
 }
 
-// announceChange publishes a machine after the fleet's list delay, in its state of that moment. The delay models how late
-// directors hear of a change. Close does not stop the timer, which may fire after it.
+// announceChange publishes a machine's endpoint after the fleet's list delay, in the state that the machine has then. The delay models the
+// time until directors are notified of a change. Close does not stop the timer, which may fire after it.
 func (d *discoveryService) announceChange(id uint32) {
 	time.AfterFunc(d.fleet.description.ListDelay.Duration(), func() {
 		d.publishEndpoint(id, func() {})
@@ -103,14 +103,14 @@
 	d.publishEndpoint(id, func() { d.states[id] = state })
 }
 
-// publishEndpoint calls change under d.mu, and then publishes the machine as it is.
+// publishEndpoint calls change under d.mu, and then publishes the machine's current endpoint.
 func (d *discoveryService) publishEndpoint(id uint32, change func()) {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
-	d.publish(discovery.Event{Endpoints: []discovery.Endpoint{d.current(id)}})
+	d.publish(discovery.Event{Endpoints: []discovery.Endpoint{d.currentEndpoint(id)}})
 }
 
 // announcePurge publishes a purge of all copies of an object that are older than now.
@@ -120,7 +120,7 @@
 	d.publish(discovery.Event{Purge: &discovery.Purge{Object: object, StampUnix: time.Now().UnixMilli()}})
 }
 
-// publish appends an event, numbers it and wakes the streams. The caller holds d.mu.
+// publish numbers an event, appends it to the log and notifies the streams. The caller holds d.mu.
 func (d *discoveryService) publish(event discovery.Event) {
 	event.Number = uint64(len(d.events) + 1)
 	d.events = append(d.events, event)
@@ -139,8 +139,8 @@
 	}
 }
 
-// serve streams events to a director until its connection fails or ctx ends. While no event is published the stream carries
-// heartbeats: frames that hold only the number of the last event.
+// serve streams events to a director until its connection fails or ctx ends. While no event is published it sends heartbeats:
+// frames that hold only the number of the last event.
 func (d *discoveryService) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
--- a/internal/testing/emulator/fleet.go
+++ b/internal/testing/emulator/fleet.go
@@ -1,7 +1,7 @@
 // Package emulator runs an emulated cache fleet on loopback sockets, for tests and trials without machines: caches,
-// parents, an origin, a discovery service, real directors, and a load generator with its clients. How machines behave
-// is decided by package simulation; this package puts sockets and the real clock around it, and checks the rules of the
-// protocol from outside. Everything that it starts ends with Fleet.Close.
+// parents, an origin, a discovery service, real directors, and a load generator with its clients. Package
+// simulation models the machines. This package connects the model to sockets and the real clock, and checks the rules of the
+// protocol from outside. Fleet.Close ends everything that the package starts.
 package emulator
 
 import (
@@ -28,8 +28,8 @@
 	Log *logrus.Logger
 	// NewObserver, if set, returns the observer of a director that StartDirectors starts, or nil for none.
 	NewObserver func(director int, zone int, start time.Time) director.Observer
-	// AdvertisedAddr, if set, returns the address that directors are given for a machine in place of its own, such
-	// as the address of a fault proxy.
+	// AdvertisedAddr, if set, returns the address of a machine that discovery announces to directors in place of the
+	// machine's own address, such as the address of a fault proxy.
 	AdvertisedAddr func(machine topology.Machine, addr netip.AddrPort) (netip.AddrPort, error)
 }
 
@@ -43,15 +43,15 @@
 	discovery   *discoveryService
 	directors   []*directorInstance
 	rules       *ruleChecker
-	lateness    *lateness // how late the world's events were handled
+	lateness    *lateness // of handling the world's events
 	cancel      context.CancelFunc
-	goroutines  sync.WaitGroup // all but the directors'
-	wake        chan struct{}  // makes runWorld look for the next event again
+	goroutines  sync.WaitGroup // all goroutines except the directors'
+	wake        chan struct{}  // notifies runWorld that the next event may have changed
 
 	mu      sync.Mutex // guards the fields below
 	world   *simulation.World
 	pending map[uint64]*pendingRequest // by the request's ID in the world
-	lastID  uint64                     // of the requests in the world
+	lastID  uint64                     // ID of the last request submitted to the world
 }
 
 // originAddr is the advertised address of the origin. Endpoint lists need one, but nothing connects to it.
@@ -123,12 +123,12 @@
 // Violations returns one line for each violation of the protocol's rules that was seen so far.
 func (f *Fleet) Violations() []string { return f.rules.list() }
 
-// Lateness returns how late the emulator itself handled the world's events, at the 99th percentile. If the fleet is late, a
-// run measures the machine that it runs on and not the directors.
+// Lateness returns the 99th percentile of how late the emulator handled the world's events. If it is high, a run measures the
+// machine that it runs on and not the directors.
 func (f *Fleet) Lateness() time.Duration { return f.lateness.percentile99() }
 
-// Close ends the directors and waits up to directorEndTimeout for each. Then it ends everything else and waits until that
-// has ended.
+// Close shuts the directors down and waits up to directorEndTimeout for each. Then it stops everything else and waits until
+// all goroutines of the fleet have ended.
 func (f *Fleet) Close() {
 	f.StopDirectors()
 	f.cancel()
--- a/internal/testing/emulator/fleet_test.go
+++ b/internal/testing/emulator/fleet_test.go
@@ -9,7 +9,7 @@
 
 // Clients are served through a real director while a machine restarts, another drains and an object is purged. No rule is
 // violated, and every request has an outcome.
-func TestClientsAreServedThroughFailures(t *testing.T) {
+func TestFleetServesClientsDuringFailures(t *testing.T) {
 	fleet, description := startFleet(t)
 	if err := fleet.StartDirectors(); err != nil {
 		t.Fatal(err)
@@ -37,17 +37,18 @@
 		t.Errorf("%d requests have an outcome, want %d", tally.Requests, wantRequests)
 	}
 	if share := tally.Share(); share < 0.8 {
-		t.Errorf("the share of requests that met their objective is %.3f, want at least 0.8: %+v", share, tally)
+		t.Errorf("%.3f of the requests met their latency objective, want at least 0.8: %+v", share, tally)
 	}
 	if violations := fleet.Violations(); len(violations) > 0 {
 		t.Errorf("violations %v, want none", violations)
 	}
 	if got := fleet.Failures(); got != 1 {
-		t.Errorf("%d machines died, want 1", got)
+		t.Errorf("%d machine failures, want 1", got)
 	}
 }
 
-func TestStoppedDirectorsTakeNoClients(t *testing.T) {
+// Directors that were stopped no longer listen, and the fleet no longer returns their addresses.
+func TestStopDirectorsClosesListeners(t *testing.T) {
 	fleet, _ := startFleet(t)
 	if err := fleet.StartDirectors(); err != nil {
 		t.Fatal(err)
--- a/internal/testing/emulator/generate.go
+++ b/internal/testing/emulator/generate.go
@@ -17,8 +17,8 @@
 // generateStream is the second half of the generator's seed. It keeps these draws apart from others with the same seed.
 const generateStream = 0x1d1c0
 
-// GenerateRequests returns requests in the order of their times, which are below span. There are rate requests a second on
-// average, spread over the request classes, objects and zones as the fleet's description states. Equal arguments give equal
+// GenerateRequests returns requests in the order of their times, which are below span. Their mean rate is rate requests a
+// second, spread over the request classes, objects and zones as the fleet's description states. Equal arguments give equal
 // requests. It returns an error if no class has a share of the demand.
 func GenerateRequests(description *topology.Topology, rate float64, span time.Duration, seed uint64) ([]capacity.Request, error) {
 	shares := 0.0
@@ -26,7 +26,7 @@
 		shares += float64(description.Classes[i].Demand.Share)
 	}
 	if shares == 0 {
-		return nil, fmt.Errorf("fleet %s: no vhost has a demand.share, so no load can be made", description.Name)
+		return nil, fmt.Errorf("fleet %s: no vhost has a demand.share, so no requests can be generated", description.Name)
 	}
 	g := &generator{
 		random: rand.New(rand.NewPCG(seed, generateStream)),
@@ -74,7 +74,7 @@
 	}
 }
 
-// burstSize draws how many requests come at once: 1 plus a geometrically distributed number whose mean is extra.
+// burstSize draws the number of requests in a burst: 1 plus a geometrically distributed number whose mean is extra.
 func (g *generator) burstSize(extra float64) int {
 	if extra <= 0 {
 		return 1
@@ -82,8 +82,8 @@
 	return 1 + int(math.Log(1-g.random.Float64())/math.Log(extra/(1+extra)))
 }
 
-// newRequest returns a request of a class for the object of a popularity rank, from 0. The part is drawn; the time and the
-// zone are not set.
+// newRequest returns a request of a class for the object with a popularity rank, which counts from 0. It draws the part and
+// leaves the time and the zone unset.
 func (g *generator) newRequest(index int, class *topology.RequestClass, rank int) capacity.Request {
 	object := uint64(index+1)<<48 | uint64(rank+1)
 	object = object*hashMultiplier | 1
--- a/internal/testing/emulator/helpers_test.go
+++ b/internal/testing/emulator/helpers_test.go
@@ -1,6 +1,6 @@
 package emulator
 
-// This file holds what the tests share: a small fleet, and a fake director whose responses a test chooses.
+// This file holds the helpers that the tests share: a small fleet, and a fake director whose responses a test chooses.
 
 import (
 	"bufio"
--- a/internal/testing/emulator/lateness.go
+++ b/internal/testing/emulator/lateness.go
@@ -1,6 +1,6 @@
 package emulator
 
-// This file measures how late the emulator itself is. The figures of a run are valid only if it is not.
+// This file measures how late the emulator itself is. The results of a run are valid only if that is negligible.
 
 import (
 	"sync"
@@ -9,13 +9,14 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxRecorded is the longest time that histograms record. Longer times are recorded as this.
+// maxRecorded is the longest time that histograms record. Longer times are recorded as maxRecorded.
 const maxRecorded = 60 * time.Second
 
 // latenessDigits is the precision of lateness in decimal digits.
 const latenessDigits = 2
 
-// lateness is a histogram of how late actions were taken after they were due. It is safe for concurrent use.
+// lateness is a histogram of the delays between the time at which an action was due and the time at which it was taken. It
+// is safe for concurrent use.
 type lateness struct {
 	mu        sync.Mutex
 	histogram *hdrhistogram.Histogram // in microseconds
@@ -34,7 +35,7 @@
 	histogram.RecordValue(clamped.Microseconds())
 }
 
-// record adds how late an action was.
+// record adds the delay of an action.
 func (l *lateness) record(late time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/emulator/load.go
+++ b/internal/testing/emulator/load.go
@@ -15,16 +15,16 @@
 	"indigochute.example/indigochute/internal/capacity"
 )
 
-// Load sends requests to a fleet's directors. It is an open-loop load: each request is sent at its intended time, whatever
-// became of earlier ones, and latency is measured from that time, so there is no coordinated omission. A rejected request is
-// retried as the fleet's description says of its clients. A Load is run once.
+// Load sends requests to a fleet's directors. It is an open-loop load: each request is sent at its intended time, whether
+// or not earlier ones have ended, and latency is measured from that time, so there is no coordinated omission. A rejected request is
+// retried as the fleet's description configures for its clients. A Load can be run only once.
 type Load struct {
 	// OnAttempt, if set before Run, is called at the end of each attempt. It must not block.
 	OnAttempt func(Attempt)
 
 	fleet     *Fleet
 	requests  []capacity.Request
-	warmup    time.Duration // requests intended earlier are not counted
+	warmup    time.Duration // requests whose intended time is earlier are not counted
 	start     time.Time
 	lateness  *lateness // how late requests were sent
 	lostZones atomic.Pointer[lostZones]
@@ -42,7 +42,7 @@
 // lostZones is a set of zones whose directors are gone.
 type lostZones struct {
 	zones       []int
-	clientsLost bool // the zones' clients are gone as well; otherwise they use the directors of other zones
+	clientsLost bool // the zones' clients stop as well; otherwise they use the directors of other zones
 }
 
 // has reports whether a zone is lost. A nil receiver means that none is.
@@ -69,15 +69,15 @@
 	return l
 }
 
-// LoseZones takes the directors of zones away. From now on the clients of these zones use the directors of other zones, or
-// send nothing more if clientsLost is set.
+// LoseZones simulates the loss of the directors of zones. From now on the clients of these zones use the directors of other
+// zones, or stop sending if clientsLost is set.
 func (l *Load) LoseZones(zones []int, clientsLost bool) {
 	l.lostZones.Store(&lostZones{zones, clientsLost})
 }
 
 // Run sends the requests until ctx ends. It returns their result once each request that was sent has an outcome and all
 // connections are closed. onWarm, if not nil, is called in a goroutine of its own when the warmup is over, if the run lasts
-// that long. Run waits for it.
+// that long. Run waits for its return.
 func (l *Load) Run(ctx context.Context, onWarm func()) *capacity.Result {
 	l.start = time.Now()
 	warmDone := make(chan struct{})
--- a/internal/testing/emulator/load_test.go
+++ b/internal/testing/emulator/load_test.go
@@ -9,8 +9,8 @@
 	"indigochute.example/indigochute/internal/msgpack"
 )
 
-// A director stalls for a second. Latency counts from intended times, so the tail shows the complete stall, and requests are
-// sent on time meanwhile.
+// A director stalls for a second. Latency counts from intended times, so the longest latency shows the complete stall. Requests
+// are sent on time during the stall.
 func TestLatencyCountsFromIntendedTimes(t *testing.T) {
 	const (
 		object      = 7
--- a/internal/testing/emulator/machine.go
+++ b/internal/testing/emulator/machine.go
@@ -16,7 +16,7 @@
 	fleet      *Fleet
 	machine    topology.Machine
 	addr       netip.AddrPort // where it listens while it is up
-	advertised netip.AddrPort // the address that directors are given
+	advertised netip.AddrPort // the address that discovery announces
 
 	healthChecks atomic.Int64 // received
 	requests     atomic.Int64 // received
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// listen opens the machine's port: the port of an earlier start, or a free one at the first. It does nothing if the fleet
-// has ended.
+// listen opens the machine's port: a free port at the first start, and the same port at later starts. It does nothing if the
+// machine was closed.
 func (m *machineServer) listen() error {
 	address := anyLoopbackPort
 	if m.addr.IsValid() {
@@ -95,7 +95,7 @@
 	}
 }
 
-// register keeps a connection that the listener accepted. It returns false if the machine died meanwhile.
+// register adds a connection that the listener accepted. It returns false if the machine has been stopped since.
 func (m *machineServer) register(conn *directorConn, listener net.Listener) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,7 +106,7 @@
 	return true
 }
 
-// forget drops a connection that has ended.
+// forget removes a connection that has ended.
 func (m *machineServer) forget(conn *directorConn) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,7 +136,7 @@
 		return
 	}
 	if err := m.listen(); err != nil {
-		m.fleet.options.Log.WithError(err).Error("standin: a machine cannot come back")
+		m.fleet.options.Log.WithError(err).Error("emulator: cannot reopen the port of a restarted machine")
 	}
 }
 
--- a/internal/testing/emulator/machineconn.go
+++ b/internal/testing/emulator/machineconn.go
@@ -16,15 +16,15 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// maxQueuedResponses is how many responses may wait to be written on one connection. A director that has more unread is
-// disconnected.
+// maxQueuedResponses is how many responses may wait to be written on one connection. A director that leaves
+// more of them unread is disconnected.
 const maxQueuedResponses = 1024
 
 // directorConn is a director's connection to a machine.
 type directorConn struct {
 	server   *machineServer
 	socket   net.Conn
-	outgoing chan []byte // closed when the last command was read
+	outgoing chan []byte // closed after the last command was read
 
 	// The fleet's lock guards the fields below.
 	pending map[string]uint64 // the world's ID of each pending request, by its ID on the connection
@@ -44,7 +44,7 @@
 	return &directorConn{server: server, socket: socket, outgoing: make(chan []byte, maxQueuedResponses), pending: map[string]uint64{}}
 }
 
-// readCommands handles commands until the connection ends or sends anything else.
+// readCommands handles commands until the connection ends or a read returns something that is not a command.
 func (c *directorConn) readCommands() {
 	reader := bufio.NewReader(c.socket)
 	for {
@@ -97,7 +97,7 @@
 	c.server.requests.Add(1)
 	request, err := fleet.simulationRequest(command)
 	if err != nil {
-		fleet.rules.violated("a cache was asked for vhost %q object %q", command.Class, command.Object)
+		fleet.rules.violated("a cache received a request with an invalid vhost %q or object %q", command.Class, command.Object)
 		c.send(&resp.Response{ID: command.ID, Status: resp.Failed})
 		return
 	}
@@ -117,7 +117,7 @@
 	})
 }
 
-// simulationRequest translates a command. The request's ID is not set. It returns an error if the object is not a number or
+// simulationRequest translates a command into a request, without setting its ID. It returns an error if the object is not a number or
 // the class is unknown. An unknown source is recorded as a violation.
 func (f *Fleet) simulationRequest(command *resp.Command) (simulation.Request, error) {
 	object, err := strconv.ParseUint(command.Object, 16, 64)
@@ -143,13 +143,13 @@
 	if command.Source != "" {
 		request.FillSource, err = discovery.ParseID(command.Source)
 		if err != nil || f.servers[request.FillSource] == nil {
-			f.rules.violated("a cache was told of source %q", command.Source)
+			f.rules.violated("a cache received a request with an unknown fill source %q", command.Source)
 		}
 	}
 	return request, nil
 }
 
-// respond sends the outcome of a request. It sends nothing if the machine died, as its connections are reset then. The
+// respond sends the outcome of a request. It sends nothing if the machine failed, as its connections are reset then. The
 // caller holds the fleet's lock.
 func (c *directorConn) respond(request *pendingRequest, outcome simulation.Response) {
 	fleet := c.server.fleet
--- a/internal/testing/emulator/ports.go
+++ b/internal/testing/emulator/ports.go
@@ -39,7 +39,7 @@
 			return addr, listener.Close()
 		}
 	}
-	return netip.AddrPort{}, fmt.Errorf("standin: no port is free: %w", err)
+	return netip.AddrPort{}, fmt.Errorf("emulator: no free port found: %w", err)
 }
 
 // WaitListening waits until connections are accepted at an address. After the timeout it returns the last dial error.
@@ -50,7 +50,7 @@
 			return conn.Close()
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("standin: nobody listens at %v: %w", addr, err)
+			return fmt.Errorf("emulator: nothing listens at %v: %w", addr, err)
 		}
 	}
 }
--- a/internal/testing/emulator/rules.go
+++ b/internal/testing/emulator/rules.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	maxViolations = 50          // listed; further ones are only counted
+	maxViolations = 50          // violations that are listed; further ones are only counted
 	drainGrace    = time.Second // from the announcement of a drain until directors must send nothing more
 	// tolerance is added to every deadline that is checked, for the time that sockets and the machine take.
 	tolerance = 50 * time.Millisecond
@@ -63,15 +63,15 @@
 	return list
 }
 
-// attemptReceived checks an attempt that reached a machine. The source is the machine that a miss is filled from, 0 for
-// none. Rule 2: a non-idempotent request must not be forwarded while an earlier attempt may have been executed. Rule 3:
+// attemptReceived checks an attempt that reached a machine. The source is the machine from which a miss is filled, or 0 if the
+// request names none. Rule 2: a non-idempotent request must not be forwarded while an earlier attempt may have been executed. Rule 3:
 // once the grace of a drain has passed, nothing is forwarded to the machine or filled from it.
 func (r *ruleChecker) attemptReceived(machine, source uint32, requestID string, class int) {
 	if r.isNonIdempotent(class) && r.addUnresolved(requestID) > 1 {
-		r.violated("rule 2: non-replayable req %s was sent again though it may have run", requestID)
+		r.violated("rule 2: non-idempotent request %s was forwarded again although an earlier attempt may have been executed", requestID)
 	}
 	if drained, ok := r.findDrained(machine, source); ok {
-		r.violated("rule 3: %s was asked or named as a source past the grace of its drain", r.fleet.servers[drained].machine.Name)
+		r.violated("rule 3: %s received a request or was a fill source after the grace of its drain", r.fleet.servers[drained].machine.Name)
 	}
 }
 
@@ -88,8 +88,8 @@
 	return r.unresolved[requestID]
 }
 
-// findDrained returns the last of the machines whose drain was announced longer than the grace ago, or false if there is
-// none.
+// findDrained returns the last of the given machines for which the grace of an announced drain has passed, or false if there
+// is none.
 func (r *ruleChecker) findDrained(machines ...uint32) (uint32, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,7 +101,7 @@
 	return 0, false
 }
 
-// attemptEnded records how an attempt ended. One that ended as a miss or a rejection was certainly not executed.
+// attemptEnded records how an attempt ended. An attempt that ended as a miss or a rejection was certainly not executed.
 func (r *ruleChecker) attemptEnded(request *pendingRequest, status simulation.Status) {
 	if !r.isNonIdempotent(request.class) {
 		return
@@ -131,7 +131,7 @@
 // grace of a purge has passed, no copy from before the purge is served.
 func (r *ruleChecker) checkBody(class int, object uint64, part uint32, body []byte) {
 	if size := r.fleet.options.BodySize(class, object, part); len(body) != size {
-		r.violated("rule 1: object %016x part %d: %d bytes of %d", object, part, len(body), size)
+		r.violated("rule 1: object %016x part %d: body has %d bytes, want %d", object, part, len(body), size)
 		return
 	}
 	header, ok := parseBody(body)
@@ -139,7 +139,7 @@
 		return
 	}
 	if header.object != object || header.part != part {
-		r.violated("rule 1: object %016x part %d was answered with %016x part %d", object, part, header.object, header.part)
+		r.violated("rule 1: object %016x part %d: got the body of object %016x part %d", object, part, header.object, header.part)
 	}
 	if !r.fleet.description.Classes[class].Write {
 		r.checkPurge(object, time.UnixMilli(header.fetched))
@@ -153,7 +153,7 @@
 	r.mu.Unlock()
 	grace := r.fleet.description.Directors.PurgeGrace.Duration()
 	if ok && time.Since(purged) > grace+tolerance && fetched.Before(purged) {
-		r.violated("rule 5: object %016x was answered with a copy from %v before its purge, %v after it", object,
+		r.violated("rule 5: object %016x: got a copy from %v before its purge, %v after the purge", object,
 			purged.Sub(fetched), time.Since(purged))
 	}
 }
--- a/internal/testing/emulator/rules_test.go
+++ b/internal/testing/emulator/rules_test.go
@@ -30,34 +30,34 @@
 			respond: func(request *msgpack.Message) []byte {
 				return append(success(request.ID, bodyOf(object)), success(request.ID, bodyOf(object))...)
 			},
-			wantViolation: "a second answer",
+			wantViolation: "second response",
 		},
 		{
 			name: "response to an unknown message",
 			respond: func(request *msgpack.Message) []byte {
 				return append(success(request.ID, bodyOf(object)), msgpack.Rejection(request.ID+1000, 0)...)
 			},
-			wantViolation: "never asked",
+			wantViolation: "never sent",
 		},
 		{
 			name:          "short body",
 			respond:       func(request *msgpack.Message) []byte { return success(request.ID, []byte("short")) },
-			wantViolation: "bytes of",
+			wantViolation: "body has",
 		},
 		{
 			name:          "body of another object",
 			respond:       func(request *msgpack.Message) []byte { return success(request.ID, bodyOf(otherObject)) },
-			wantViolation: "was answered with",
+			wantViolation: "got the body of",
 		},
 		{
 			name:          "invalid bytes",
 			respond:       func(*msgpack.Message) []byte { return []byte{0x94, 0x07, 0xff} },
-			wantViolation: "cannot be read",
+			wantViolation: "invalid response",
 		},
 		{
 			name:          "no response",
 			respond:       func(*msgpack.Message) []byte { return nil },
-			wantViolation: "no final answer",
+			wantViolation: "no final response",
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/testing/emulator/runner.go
+++ b/internal/testing/emulator/runner.go
@@ -24,22 +24,22 @@
 
 	// The totals of all runs so far. Read them only while Run is not running.
 	Violations []string      // of the protocol's rules
-	Lateness   time.Duration // the greatest
+	Lateness   time.Duration // the greatest of any run
 	Runs       int
 
 	mu sync.Mutex // guards the totals
 }
 
-// LatenessError is the error of a run during which the measuring machine itself was too late.
+// LatenessError is the error of a run during which the machine that measures was itself too late.
 type LatenessError struct{ Lateness, Max time.Duration }
 
 func (e LatenessError) Error() string {
-	return fmt.Sprintf("void: this machine was %v late itself, over %v; give it more free cores or less load", e.Lateness, e.Max)
+	return fmt.Sprintf("invalid run: this machine was late by %v, more than %v; give it more free cores or less load", e.Lateness, e.Max)
 }
 
-// Run runs the setups, Parallel at once, and returns their results in order. A setup during which the machine was too late
-// runs once more, alone. Run returns a capacity.ShortDemandError, before anything runs, if the demand is too short for a
-// setup; a LatenessError if the machine was too late again; or the error that kept a fleet from starting.
+// Run runs the setups, Parallel at a time, and returns their results in order. A setup during which this machine was too late
+// runs once more, alone. Run returns a capacity.ShortDemandError, before anything runs, if the demand is too short for a setup.
+// It returns a LatenessError if this machine was too late again, or the error of a fleet that could not start.
 func (r *Runner) Run(description *topology.Topology, demand *capacity.Demand, setups []capacity.Setup) ([]*capacity.Result, error) {
 	for i := range setups {
 		if _, err := newRunPlan(demand, &setups[i]); err != nil {
@@ -127,7 +127,7 @@
 	}
 }
 
-// limitForeignLinks limits the machines' links to what zones that are not emulated leave free.
+// limitForeignLinks reduces the machines' links by the shares that zones outside the emulation use.
 func (f *Fleet) limitForeignLinks(setup *capacity.Setup) {
 	shares := setup.ForeignLinkShares
 	f.update(func(world *simulation.World) {
@@ -141,19 +141,19 @@
 }
 
 // runLoad runs the load and injects the failure once the warmup is over. For the counted span it measures the use of
-// resources, and how many machines died beyond those of the failure.
+// resources, and how many machines failed in addition to those of the injected failure.
 func runLoad(fleet *Fleet, load *Load, plan *runPlan, failure *capacity.Failure) *capacity.Result {
 	meter := &usageMeter{fleet: fleet}
 	meter.begin()
 	end := time.NewTimer(plan.warmup + plan.span)
 	defer end.Stop()
 	var uses []simulation.Use
-	var deaths int
+	var machineFailures int
 	var measuring sync.WaitGroup
 	measuring.Go(func() {
 		<-end.C
 		uses = meter.uses()
-		deaths = fleet.Failures() - len(failure.Restarted) - len(failure.Removed)
+		machineFailures = fleet.Failures() - len(failure.Restarted) - len(failure.Removed)
 	})
 	result := load.Run(context.Background(), func() {
 		if !failure.Empty() {
@@ -162,7 +162,7 @@
 		meter.begin()
 	})
 	measuring.Wait()
-	result.Utilizations, result.MachineFailures = uses, deaths
+	result.Utilizations, result.MachineFailures = uses, machineFailures
 	return result
 }
 
@@ -199,7 +199,7 @@
 	return m.fleet.Uses(m.since)
 }
 
-// record adds a run to the runner's totals. It returns a LatenessError if the machine was too late during the run.
+// record adds a run to the runner's totals. It returns a LatenessError if this machine was too late during the run.
 func (r *Runner) record(fleet *Fleet, load *Load) error {
 	lateness := max(load.Lateness(), fleet.Lateness())
 	r.mu.Lock()
--- a/internal/testing/emulator/world.go
+++ b/internal/testing/emulator/world.go
@@ -9,7 +9,7 @@
 	"indigochute.example/indigochute/internal/simulation"
 )
 
-// idleWait is how long runWorld sleeps while the world has no event due. A change of the world wakes it earlier.
+// idleWait is how long runWorld sleeps while the world has no event due. A change of the world ends the sleep early.
 const idleWait = time.Hour
 
 // now returns the present time of the world.
@@ -47,7 +47,7 @@
 	return idleWait
 }
 
-// advance brings the world up to now, sends its responses, and opens or closes the ports of machines that came back or died.
+// advance brings the world up to now, sends its responses, and opens or closes the ports of machines that restarted or failed.
 // The caller holds f.mu.
 func (f *Fleet) advance() {
 	for _, response := range f.world.Advance(f.now()) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// update changes the world at the present time. It wakes runWorld, as the next event may be earlier now.
+// update changes the world at the present time. It notifies runWorld, as the next event may be earlier now.
 func (f *Fleet) update(change func(world *simulation.World)) {
 	f.mu.Lock()
 	f.advance()
