--- a/internal/testing/faultnet/conn.go
+++ b/internal/testing/faultnet/conn.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// conn is a connection whose reads and writes may fail. It embeds the interface net.Conn and not *net.TCPConn. Otherwise
-// net.Buffers would find that type's method for several buffers and bypass Write.
+// conn is a connection whose reads and writes may fail. It embeds the interface net.Conn instead of *net.TCPConn, as net.Buffers
+// would use the writev method of *net.TCPConn and bypass Write.
 type conn struct {
 	net.Conn
 	network *Network
 	place   Place
 
 	mu                  sync.Mutex
-	broken              error         // the error of every later read and write; nil: the connection is not broken
-	closed              bool          // by this side
+	breakErr            error         // the error of every later read and write; nil while the connection is not broken
+	closed              bool          // Close was called
 	deadline            time.Time     // of writes
-	changed             chan struct{} // closed and replaced when one of the three fields above changes
-	sendBufferFullUntil time.Time     // blocked writes wait until then
+	changed             chan struct{} // closed and replaced when one of the fields above changes
+	sendBufferFullUntil time.Time     // until then every write waits
 }
 
-// newConn returns a conn over a connection of the system.
-func newConn(n *Network, system net.Conn, place Place) *conn {
-	return &conn{Conn: system, network: n, place: place, changed: make(chan struct{})}
+// newConn returns a conn that wraps a real connection.
+func newConn(n *Network, wrapped net.Conn, place Place) *conn {
+	return &conn{Conn: wrapped, network: n, place: place, changed: make(chan struct{})}
 }
 
 // longPast is a deadline that has passed.
 var longPast = time.Unix(1, 0)
 
-// Read reads as the system does. If a short read is drawn, it reads a few bytes at most.
+// Read reads from the wrapped connection. If a ShortRead is drawn, it reads at most maxShortRead bytes.
 func (c *conn) Read(b []byte) (int, error) {
 	kind := c.draw(ShortRead)
 	c.breakBy(kind)
@@ -39,16 +39,16 @@
 		return 0, err
 	}
 	if kind == ShortRead && len(b) > 0 {
-		b = b[:min(len(b), c.network.oneTo(maxShortRead))]
+		b = b[:min(len(b), c.network.randomSize(maxShortRead))]
 	}
 	n, err := c.Conn.Read(b)
-	if failed := c.failure("read"); failed != nil && err != nil { // it broke while the read waited
-		return n, failed
+	if breakErr := c.failure("read"); breakErr != nil && err != nil { // the connection broke while the read waited
+		return n, breakErr
 	}
 	return n, err
 }
 
-// Write writes all of b, or returns an error and the number of bytes that left before.
+// Write writes all of b, or returns an error and the number of bytes written before it.
 func (c *conn) Write(b []byte) (int, error) {
 	kind := c.draw(ShortWrite, BlockedWrite)
 	if err := c.awaitSendBuffer(kind); err != nil {
@@ -59,12 +59,12 @@
 	}
 	sent := 0
 	if kind == ShortWrite && len(b) > 1 {
-		first, err := c.Conn.Write(b[:c.network.oneTo(len(b)-1)])
+		first, err := c.Conn.Write(b[:c.network.randomSize(len(b)-1)])
 		if err != nil {
 			return first, err
 		}
 		sent = first
-		if err := c.delayWrite(c.network.upTo(c.network.plan.LongestPause)); err != nil {
+		if err := c.delayWrite(c.network.randomDelay(c.network.plan.LongestPause)); err != nil {
 			return sent, err
 		}
 	}
@@ -72,8 +72,8 @@
 	return sent + rest, err
 }
 
-// writeDeadlinePassed returns an error if the deadline for writes has passed. It is needed because drawing and injecting a
-// fault takes time after the caller's last check of the clock, which a write to a real connection does not.
+// writeDeadlinePassed returns an error if the deadline for writes has passed. The check is needed because drawing and injecting
+// a fault takes time between the caller's last check of the clock and the write, unlike a write to a real connection.
 func (c *conn) writeDeadlinePassed() error {
 	c.mu.Lock()
 	deadline := c.deadline
@@ -84,11 +84,11 @@
 	return nil
 }
 
-// awaitSendBuffer waits while a BlockedWrite that was drawn now or before keeps the send buffer full.
+// awaitSendBuffer waits while the send buffer counts as full because of a BlockedWrite, drawn for this write or an earlier one.
 func (c *conn) awaitSendBuffer(kind Kind) error {
 	c.breakBy(kind)
 	if kind == BlockedWrite {
-		until := time.Now().Add(c.network.upTo(c.network.plan.LongestBlock))
+		until := time.Now().Add(c.network.randomDelay(c.network.plan.LongestBlock))
 		c.mu.Lock()
 		if until.After(c.sendBufferFullUntil) {
 			c.sendBufferFullUntil = until
@@ -96,20 +96,20 @@
 		c.mu.Unlock()
 	}
 	c.mu.Lock()
-	full := time.Until(c.sendBufferFullUntil)
+	wait := time.Until(c.sendBufferFullUntil)
 	c.mu.Unlock()
-	if full <= 0 {
+	if wait <= 0 {
 		return c.failure("write")
 	}
-	return c.delayWrite(full)
+	return c.delayWrite(wait)
 }
 
 // draw draws a fault of a read or a write: one of the given kinds, or one that breaks the connection.
-func (c *conn) draw(others ...Kind) Kind {
-	return c.network.draw(c.place, c.RemoteAddr().String(), append(others, TimedOut, HostUnreachable, Reset)...)
+func (c *conn) draw(kinds ...Kind) Kind {
+	return c.network.draw(c.place, c.RemoteAddr().String(), append(kinds, TimedOut, HostUnreachable, Reset)...)
 }
 
-// breakBy breaks the connection if the kind is one that does. It wakes reads and writes that wait.
+// breakBy breaks the connection if the kind is TimedOut, HostUnreachable or Reset. Reads and writes in progress fail.
 func (c *conn) breakBy(kind Kind) {
 	switch kind {
 	case TimedOut, HostUnreachable, Reset:
@@ -118,15 +118,15 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken == nil && !c.closed {
-		c.broken = errnos[kind]
+	if c.breakErr == nil && !c.closed {
+		c.breakErr = errnos[kind]
 		c.Conn.SetDeadline(longPast)
-		c.wakeLocked()
+		c.notifyLocked()
 	}
 }
 
-// wakeLocked makes delayed writes check their conditions again. Called under the lock.
-func (c *conn) wakeLocked() {
+// notifyLocked makes delayed writes check their conditions again. The caller holds c.mu.
+func (c *conn) notifyLocked() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
@@ -138,28 +138,29 @@
 	return c.failureLocked(call)
 }
 
-// failureLocked is failure for a caller that holds the lock.
+// failureLocked is failure for a caller that holds c.mu.
 func (c *conn) failureLocked(call string) error {
-	if c.broken == nil || c.closed {
+	if c.breakErr == nil || c.closed {
 		return nil
 	}
-	return c.wrap(call, os.NewSyscallError(call, c.broken))
+	return c.wrap(call, os.NewSyscallError(call, c.breakErr))
 }
 
-// wrap returns an error in the form that the net package gives it.
+// wrap returns an error in the form of the net package.
 func (c *conn) wrap(call string, err error) error {
 	return &net.OpError{Op: call, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: err}
 }
 
-// delayWrite delays a write. It returns an error if meanwhile the connection breaks or is closed, or the deadline for writes
-// passes. If the process was paused until both the delay and the deadline were over, the deadline counts, as in the system.
-func (c *conn) delayWrite(span time.Duration) error {
-	if delayed := c.network.plan.Delayed; delayed != nil {
+// delayWrite delays a write. It returns an error if the connection breaks or is closed during the delay, or if the deadline for
+// writes passes. If the process was paused until both the delay and the deadline were over, it returns the error of the
+// deadline, as a real connection does.
+func (c *conn) delayWrite(delay time.Duration) error {
+	if report := c.network.plan.Delayed; report != nil {
 		from := time.Now()
-		defer func() { delayed(Delay{c.place, c.RemoteAddr().String(), from, time.Now()}) }()
+		defer func() { report(Delay{c.place, c.RemoteAddr().String(), from, time.Now()}) }()
 	}
-	over := time.NewTimer(span)
-	defer over.Stop()
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
 	for waited := false; ; {
 		c.mu.Lock()
 		err, deadline, changed := c.failureLocked("write"), c.deadline, c.changed
@@ -175,15 +176,15 @@
 		case waited:
 			return nil
 		}
-		var passed <-chan time.Time
+		var deadlinePassed <-chan time.Time
 		if !deadline.IsZero() {
-			passed = time.After(time.Until(deadline))
+			deadlinePassed = time.After(time.Until(deadline))
 		}
 		select {
-		case <-over.C:
+		case <-timer.C:
 			waited = true
 		case <-changed:
-		case <-passed:
+		case <-deadlinePassed:
 		}
 	}
 }
@@ -196,29 +197,29 @@
 	return c.SetWriteDeadline(t)
 }
 
-// SetReadDeadline sets the deadline of reads. It has no effect on a broken connection, whose reads must not wait.
+// SetReadDeadline sets the deadline of reads. It has no effect on a broken connection, whose reads fail at once.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken != nil {
+	if c.breakErr != nil {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetWriteDeadline sets the deadline of writes. It has no effect on a broken connection, whose writes must not wait.
+// SetWriteDeadline sets the deadline of writes. It has no effect on a broken connection, whose writes fail at once.
 func (c *conn) SetWriteDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken != nil {
+	if c.breakErr != nil {
 		return nil
 	}
 	c.deadline = t
-	c.wakeLocked()
+	c.notifyLocked()
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// CloseWrite closes the writing side, so that the other side sees the end of the stream.
+// CloseWrite closes the writing side, so that the peer reads the end of the stream.
 func (c *conn) CloseWrite() error {
 	if err := c.failure("close"); err != nil {
 		return err
@@ -230,18 +231,19 @@
 func (c *conn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken != nil && !c.closed {
+	if c.breakErr != nil && !c.closed {
 		c.Conn.(*net.TCPConn).SetLinger(0)
 	}
 	c.closed = true
-	c.wakeLocked()
+	c.notifyLocked()
 	return c.Conn.Close()
 }
 
-// rawConn is a conn that shows its descriptor. Reads and writes of the descriptor may break the connection or block as well.
+// rawConn is a conn with access to its file descriptor. Faults that break or block the connection are injected at reads and
+// writes of the descriptor as well.
 type rawConn struct{ *conn }
 
-// SyscallConn returns the descriptor, for reads, for peeks and for waiting until it takes bytes. Short reads and writes are
+// SyscallConn returns the file descriptor, for reads, for peeks and for waiting until it is writable. Short reads and writes are
 // not injected there.
 func (c *rawConn) SyscallConn() (syscall.RawConn, error) {
 	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
@@ -254,28 +256,28 @@
 	conn *conn
 }
 
-// Read is the Read of a syscall.RawConn. It returns an error if the connection is broken or breaks while it waits.
+// Read implements syscall.RawConn. It returns an error if the connection is broken or breaks while Read waits.
 func (d *descriptor) Read(ready func(fd uintptr) bool) error {
 	d.conn.breakBy(d.conn.draw())
 	if err := d.conn.failure("read"); err != nil {
 		return err
 	}
 	err := d.RawConn.Read(ready)
-	if failed := d.conn.failure("read"); failed != nil && err != nil {
-		return failed
+	if breakErr := d.conn.failure("read"); breakErr != nil && err != nil {
+		return breakErr
 	}
 	return err
 }
 
-// Write is the Write of a syscall.RawConn. It waits while the send buffer is full, and returns an error if the connection is
-// broken or breaks.
+// Write implements syscall.RawConn. It waits while the send buffer counts as full, and returns an error if the connection is
+// broken or breaks meanwhile.
 func (d *descriptor) Write(ready func(fd uintptr) bool) error {
 	if err := d.conn.awaitSendBuffer(d.conn.draw(BlockedWrite)); err != nil {
 		return err
 	}
 	err := d.RawConn.Write(ready)
-	if failed := d.conn.failure("write"); failed != nil && err != nil {
-		return failed
+	if breakErr := d.conn.failure("write"); breakErr != nil && err != nil {
+		return breakErr
 	}
 	return err
 }
--- a/internal/testing/faultnet/faultnet.go
+++ b/internal/testing/faultnet/faultnet.go
@@ -2,15 +2,15 @@
 // system's own sockets, so that everything but the injected faults is real. Only tests use it.
 //
 // A Network has the methods that a director needs of its network: Listen and DialContext. At each call a fault, or none, is
-// drawn from a seeded source, by the rates of a Plan and within its windows of time. Calls of several goroutines draw in the
-// order in which they come. So one seed gives the same faults only to callers that call in the same order.
+// drawn from a seeded random source, by the rates of a Plan and within its windows of time. Concurrent calls draw in the order
+// in which they arrive. So a seed reproduces the faults only if the calls come in the same order.
 //
 // Errors have the form that the net package gives them: a *net.OpError around an *os.SyscallError around a syscall.Errno.
 //
 // EINTR is injected at Accept only. The net package itself repeats interrupted reads, writes and connects, so no caller of
 // a net.Conn ever sees one. The same holds for short writes: net.Conn.Write returns fewer bytes than it was given only with
-// an error. So a short write here is one whose bytes leave in two pieces with a pause between them. A blocked write waits, as
-// behind a full send buffer, until it may go on, its deadline passes or the connection is closed.
+// an error. So a short write here is a write whose bytes are sent in two pieces with a pause between them. A blocked write waits, as
+// if the send buffer were full, until the block ends, its deadline passes or the connection is closed.
 package faultnet
 
 import (
@@ -29,7 +29,7 @@
 // Kind is one kind of fault.
 type Kind string
 
-// Errors of system calls, by their names in errno(3). Plan tells where each may be injected.
+// Errors of system calls, by their names in errno(3). Plan documents where each may be injected.
 const (
 	NetUnreachable      Kind = "ENETUNREACH"
 	HostUnreachable     Kind = "EHOSTUNREACH"
@@ -48,10 +48,10 @@
 
 // Faults that are not errors.
 const (
-	Late         Kind = "late"          // the connection comes up only after a while
+	Late         Kind = "late"          // the connection is established after a delay
 	ShortRead    Kind = "short read"    // a read returns a few bytes, however many have arrived
-	ShortWrite   Kind = "short write"   // the bytes leave in two pieces with a pause between them
-	BlockedWrite Kind = "blocked write" // nothing leaves for a while
+	ShortWrite   Kind = "short write"   // the bytes are sent in two pieces with a pause between them
+	BlockedWrite Kind = "blocked write" // nothing is sent for a while
 )
 
 // Place is where a fault is injected.
@@ -61,39 +61,40 @@
 const (
 	AtDial     Place = "dial"
 	AtAccept   Place = "accept"
-	OnDialed   Place = "dialed"   // a connection that was dialled
-	OnAccepted Place = "accepted" // a connection that was accepted
+	OnDialed   Place = "dialed"   // a connection that this network dialed
+	OnAccepted Place = "accepted" // a connection that this network accepted
 )
 
-// Rates are the probabilities of faults, each from 0 to 1 and 1 at most in sum. At each call one of them is drawn, or none.
+// Rates are the probabilities of faults, each from 0 to 1, with a sum of at most 1. At each call at most one fault is drawn.
 type Rates map[Kind]float64
 
-// Plan tells which faults are injected, how often and when.
+// Plan defines which faults are injected, how often and when.
 type Plan struct {
-	// Dial has the faults of DialContext. Allowed are the errors that socket(2) and connect(2) return, and Late.
+	// Dial holds the rates of faults of DialContext. Allowed are the errors that socket(2) and connect(2) return, and Late.
 	Dial Rates
-	// Accept has the faults of Accept. A connection that waits to be accepted keeps waiting. Allowed are the errors that
-	// accept(2) returns, and Interrupted.
+	// Accept holds the rates of faults of Accept. A connection that waits to be accepted stays in the queue. Allowed are the
+	// errors that accept(2) returns, and Interrupted.
 	Accept Rates
-	// Dialed and Accepted have the faults of each Read and Write of a connection. TimedOut, HostUnreachable and Reset break
-	// it for good: this call, calls in progress and all later ones fail, and Close resets it. ShortRead is drawn at reads
-	// only, ShortWrite and BlockedWrite at writes only. A BlockedWrite fills the send buffer for a while, for all writes.
+	// Dialed and Accepted hold the rates of faults of each Read and Write of a connection. TimedOut, HostUnreachable and Reset
+	// break the connection permanently: this call, calls in progress and all later calls fail, and Close resets the connection.
+	// ShortRead is drawn at reads only, ShortWrite and BlockedWrite at writes only. After a BlockedWrite all writes on the
+	// connection wait for a while, as if its send buffer were full.
 	Dialed, Accepted Rates
-	// Windows are the times at which faults are drawn, counted from New; none: always.
+	// Windows are the spans of time in which faults are drawn, counted from New. Without windows faults are always drawn.
 	Windows []Window
 
-	LongestLate  time.Duration // longest delay of a late connection; 0: defaultLate
-	LongestPause time.Duration // longest pause within a short write; 0: defaultPause
-	LongestBlock time.Duration // longest time of a blocked write; 0: defaultBlock
+	LongestLate  time.Duration // longest delay of a Late dial; 0 means defaultLate
+	LongestPause time.Duration // longest pause within a ShortWrite; 0 means defaultPause
+	LongestBlock time.Duration // longest time for which a BlockedWrite blocks; 0 means defaultBlock
 
-	// Plain hides SyscallConn of connections, so that callers that could use the descriptor call Read and Write. Otherwise
-	// reads and writes of the descriptor are not shortened, as this package cannot do that.
+	// Plain makes connections without SyscallConn, so that callers that would use the file descriptor call Read and Write
+	// instead. This package cannot shorten reads and writes of the descriptor.
 	Plain bool
 
 	// Injected, if set, is called with each fault just before it is injected. It must not block.
 	Injected func(Fault)
-	// Delayed, if set, is called for each write that a ShortWrite or a BlockedWrite delayed, once it goes on or fails. It
-	// must not block.
+	// Delayed, if set, is called for each write that a ShortWrite or a BlockedWrite delayed, when the delay ends. It must not
+	// block.
 	Delayed func(Delay)
 }
 
@@ -104,20 +105,20 @@
 	maxShortRead = 16 // bytes of a short read
 )
 
-// Window is a span of time, from From to before Until.
+// Window is a span of time that includes From and excludes Until.
 type Window struct{ From, Until time.Duration }
 
 // Fault is a fault that was injected.
 type Fault struct {
 	Place  Place
 	Kind   Kind
-	Remote string // the other side's address; of a dial, the one dialled; of an accept, ""
+	Remote string // peer's address; the dialed address for a dial, "" for an accept
 }
 
 // Delay is the time for which a fault delayed a write.
 type Delay struct {
 	Place    Place
-	Remote   string // the other side's address
+	Remote   string // peer's address
 	From, To time.Time
 }
 
@@ -153,25 +154,25 @@
 	Interrupted:         syscall.EINTR,
 }
 
-// Network is a network whose calls fail as a Plan tells.
+// Network is a network whose calls fail according to a Plan.
 type Network struct {
 	plan  Plan
 	rates map[Place]Rates
 	start time.Time
 
 	mu      sync.Mutex
-	chance  *rand.Rand
+	random  *rand.Rand
 	counts  map[string]int // faults injected, by Fault.String
 	stopped bool
 }
 
-// New returns a network. It panics if the plan names a fault at a place where it cannot occur, or rates over 1 in sum.
+// New returns a network. It panics if the plan has a fault at a place where it cannot occur, or rates whose sum exceeds 1.
 func New(seed uint64, plan Plan) *Network {
 	n := &Network{
 		plan:   plan,
 		rates:  map[Place]Rates{AtDial: plan.Dial, AtAccept: plan.Accept, OnDialed: plan.Dialed, OnAccepted: plan.Accepted},
 		start:  time.Now(),
-		chance: rand.New(rand.NewPCG(seed, 0xfa17)),
+		random: rand.New(rand.NewPCG(seed, 0xfa17)),
 		counts: map[string]int{},
 	}
 	for place, rates := range n.rates {
@@ -190,21 +191,21 @@
 	}
 }
 
-// checkRates panics if a kind is not allowed at the place, or if the rates are over 1 in sum.
+// checkRates panics if a kind is not allowed at the place, or if the sum of the rates exceeds 1.
 func checkRates(place Place, rates Rates) {
 	sum := 0.0
 	for kind, rate := range rates {
 		if !slices.Contains(allowed[place], kind) {
-			panic(fmt.Sprintf("faultnet: no %s at %s", kind, place))
+			panic(fmt.Sprintf("faultnet: fault %s is not allowed at %s", kind, place))
 		}
 		sum += rate
 	}
 	if sum > 1 {
-		panic(fmt.Sprintf("faultnet: chances at %s are %g together", place, sum))
+		panic(fmt.Sprintf("faultnet: the sum of the rates at %s is %g, want at most 1", place, sum))
 	}
 }
 
-// Stop ends all injection. Connections that are broken, late or blocked stay so.
+// Stop ends the injection of faults. Connections that are already broken, delayed or blocked remain so.
 func (n *Network) Stop() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -218,7 +219,7 @@
 	return maps.Clone(n.counts)
 }
 
-// draw draws one of the kinds by its rate at the place, or "" for none, and counts it. It reports it to Plan.Injected.
+// draw draws one of the kinds by the rates of the place, or "" for none. It counts the fault and calls Plan.Injected with it.
 func (n *Network) draw(place Place, remote string, kinds ...Kind) Kind {
 	kind := n.drawKind(place, kinds)
 	if kind != "" && n.plan.Injected != nil {
@@ -227,17 +228,17 @@
 	return kind
 }
 
-// drawKind is draw without the report. Each call takes one number from the source, whether faults are on or not, so that a
-// seed gives the same faults whatever is switched off.
+// drawKind is draw without the call of Plan.Injected. Each call takes one number from the random source, also outside the
+// windows and after Stop, so that a seed gives the same faults with other windows.
 func (n *Network) drawKind(place Place, kinds []Kind) Kind {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	left := n.chance.Float64()
+	remaining := n.random.Float64()
 	if n.stopped || !n.faultsOn(time.Since(n.start)) {
 		return ""
 	}
 	for _, kind := range kinds {
-		if left -= n.rates[place][kind]; left < 0 {
+		if remaining -= n.rates[place][kind]; remaining < 0 {
 			n.counts[Fault{Place: place, Kind: kind}.String()]++
 			return kind
 		}
@@ -245,7 +246,7 @@
 	return ""
 }
 
-// faultsOn returns whether a time since the start lies in a window of the plan.
+// faultsOn reports whether a time since the start lies in a window of the plan.
 func (n *Network) faultsOn(now time.Duration) bool {
 	for _, w := range n.plan.Windows {
 		if w.From <= now && now < w.Until {
@@ -255,56 +256,56 @@
 	return len(n.plan.Windows) == 0
 }
 
-// upTo draws a duration between a tenth of the longest and the longest.
-func (n *Network) upTo(longest time.Duration) time.Duration {
+// randomDelay draws a duration between a tenth of longest and longest.
+func (n *Network) randomDelay(longest time.Duration) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return longest/10 + time.Duration(n.chance.Float64()*float64(longest)*0.9)
+	return longest/10 + time.Duration(n.random.Float64()*float64(longest)*0.9)
 }
 
-// oneTo draws a number from 1 to most.
-func (n *Network) oneTo(most int) int {
+// randomSize draws a number from 1 to largest.
+func (n *Network) randomSize(largest int) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return 1 + n.chance.IntN(most)
+	return 1 + n.random.IntN(largest)
 }
 
-// DialContext connects as net.Dialer does, but fails or connects late as the plan tells. The context bounds the delay as well.
+// DialContext connects like net.Dialer, but fails or connects late according to the plan. The end of ctx also ends the delay.
 func (n *Network) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	var system net.Dialer
+	var dialer net.Dialer
 	switch kind := n.draw(AtDial, address, allowed[AtDial]...); kind {
 	case "":
 	case Late:
 		select {
 		case <-ctx.Done(): // the dial below returns the context's error
-		case <-time.After(n.upTo(n.plan.LongestLate)):
+		case <-time.After(n.randomDelay(n.plan.LongestLate)):
 		}
 	default:
 		return nil, dialError(kind, network, address)
 	}
-	conn, err := system.DialContext(ctx, network, address)
+	conn, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
 	return n.wrap(conn, OnDialed), nil
 }
 
-// dialError returns the error of net.Dialer for a kind. Errors for a lack of a resource come from socket(2), the others from
-// connect(2).
+// dialError returns the error that net.Dialer returns for a kind. Errors for a lack of resources come from socket(2), the others
+// from connect(2).
 func dialError(kind Kind, network, address string) error {
 	call := "connect"
 	switch kind {
 	case ProcessFilesFull, SystemFilesFull, NoBuffers, NoMemory:
 		call = "socket"
 	}
-	failed := &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(call, errnos[kind])}
+	dialErr := &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError(call, errnos[kind])}
 	if to, err := net.ResolveTCPAddr("tcp", address); err == nil {
-		failed.Addr = to
+		dialErr.Addr = to
 	}
-	return failed
+	return dialErr
 }
 
-// Listen listens as net.Listen does for TCP.
+// Listen listens like net.Listen, for TCP.
 func (n *Network) Listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -313,19 +314,19 @@
 	return n.WrapListener(l.(*net.TCPListener)), nil
 }
 
-// WrapListener returns a listener that accepts the connections of another one, with the plan's faults.
+// WrapListener returns a listener that accepts the connections of l with the faults of the plan.
 func (n *Network) WrapListener(l *net.TCPListener) net.Listener {
 	return &listener{TCPListener: l, network: n}
 }
 
-// listener is a *net.TCPListener whose Accept fails as the plan tells.
+// listener is a *net.TCPListener whose Accept fails according to the plan.
 type listener struct {
 	*net.TCPListener
 	network *Network
 }
 
-// Accept returns the next connection, or fails as the plan tells. It fails whether or not a connection waits, as accept(2)
-// does, which takes a descriptor before it checks for a connection. A connection that waits is accepted later.
+// Accept returns the next connection, or fails according to the plan. It may fail although no connection is pending, because
+// accept(2) allocates a descriptor before it checks for a connection. A pending connection is accepted by a later call.
 func (l *listener) Accept() (net.Conn, error) {
 	if kind := l.network.draw(AtAccept, "", allowed[AtAccept]...); kind != "" {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: os.NewSyscallError("accept4", errnos[kind])}
@@ -337,9 +338,9 @@
 	return l.network.wrap(conn, OnAccepted), nil
 }
 
-// wrap returns a connection with the faults of a place. It shows its descriptor unless the plan is Plain.
-func (n *Network) wrap(system net.Conn, place Place) net.Conn {
-	wrapped := newConn(n, system, place)
+// wrap returns a connection with the faults of a place. It gives access to its descriptor unless the plan is Plain.
+func (n *Network) wrap(conn net.Conn, place Place) net.Conn {
+	wrapped := newConn(n, conn, place)
 	if n.plan.Plain {
 		return wrapped
 	}
--- a/internal/testing/faultnet/faultnet_test.go
+++ b/internal/testing/faultnet/faultnet_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// testTimeout is how long a test waits for something that must happen; far longer than anything here takes.
+// testTimeout is how long a test waits for an event that must happen. It is windowed longer than any event here takes.
 const testTimeout = 10 * time.Second
 
 // pair returns the two ends of a connection over loopback, accepted by one network and dialled by the other.
@@ -49,8 +49,8 @@
 	}
 }
 
-// Each error of a dial has the form that the net package gives it. One is compared with a real error.
-func TestDialErrors(t *testing.T) {
+// Each injected error of a dial has the form of the net package. One of them is compared with a real error.
+func TestDialErrorsMatchNetPackage(t *testing.T) {
 	calls := map[Kind]string{
 		NetUnreachable:      "connect",
 		HostUnreachable:     "connect",
@@ -75,7 +75,7 @@
 		}
 	}
 	if got, want := len(calls), len(Kinds(AtDial))-1; got != want { // all kinds but Late
-		t.Errorf("tried %d errors, want %d", got, want)
+		t.Errorf("tested %d errors, want %d", got, want)
 	}
 	_, injected := New(1, Plan{Dial: Rates{Refused: 1}}).DialContext(context.Background(), "tcp", "127.0.0.1:1")
 	_, real := New(1, Plan{}).DialContext(context.Background(), "tcp", "127.0.0.1:1")
@@ -84,7 +84,7 @@
 	}
 }
 
-// A late dial succeeds after a while. If its context ends before, it fails as a real dial does.
+// A late dial succeeds after a delay. If its context ends during the delay, the dial fails like a real one.
 func TestLateDial(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -105,21 +105,21 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	_, err = n.DialContext(ctx, "tcp", l.Addr().String())
-	if timed, ok := err.(net.Error); !ok || !timed.Timeout() {
+	if netErr, ok := err.(net.Error); !ok || !netErr.Timeout() {
 		t.Errorf("got %v, want a timeout", err)
 	}
 }
 
-// A call of Accept that fails loses no connection: one that waits is accepted by a later call. Deadlines and Close work as in
-// the system.
-func TestAcceptErrors(t *testing.T) {
+// A call of Accept that fails loses no connection: a pending connection is accepted by a later call. Deadlines and Close work as
+// on a real listener.
+func TestAcceptErrorsKeepPendingConnections(t *testing.T) {
 	for _, kind := range Kinds(AtAccept) {
 		n := New(1, Plan{Accept: Rates{kind: 1}})
 		l, err := n.Listen("127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		waiting, err := net.Dial("tcp", l.Addr().String())
+		pending, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,10 +128,10 @@
 		n.Stop()
 		c, err := l.Accept()
 		if err != nil {
-			t.Fatalf("%s: then %v", kind, err)
+			t.Fatalf("%s: Accept after Stop returned %v, want the pending connection", kind, err)
 		}
 		c.Close()
-		waiting.Close()
+		pending.Close()
 		l.(interface{ SetDeadline(time.Time) error }).SetDeadline(time.Now())
 		if _, err = l.Accept(); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("after the deadline: got %v, want %v", err, os.ErrDeadlineExceeded)
@@ -144,7 +144,7 @@
 }
 
 // Short reads and writes transfer all bytes in order. net.Buffers are written through Write as well.
-func TestShortReadsAndWrites(t *testing.T) {
+func TestShortReadsAndWritesTransferAllBytes(t *testing.T) {
 	short := Rates{ShortRead: 0.5, ShortWrite: 0.5}
 	accepting := New(1, Plan{Accepted: short, Plain: true, LongestPause: time.Millisecond})
 	dialing := New(2, Plan{Dialed: short, LongestPause: time.Millisecond})
@@ -156,13 +156,13 @@
 	}()
 	got := make([]byte, len(text))
 	if _, err := io.ReadFull(accepted, got); err != nil || !bytes.Equal(got, text) {
-		t.Errorf("got %v or other bytes than were written", err)
+		t.Errorf("got error %v or other bytes than were written", err)
 	}
 	if n := dialing.Counts()["dialed short write"]; n == 0 || n > 3 {
 		t.Errorf("%d short writes, want 1 to 3", n)
 	}
 	if accepting.Counts()["accepted short read"] == 0 {
-		t.Error("no short read")
+		t.Error("no short read was counted, want at least 1")
 	}
 	accepting = New(1, Plan{Accepted: Rates{ShortRead: 1}, Plain: true})
 	accepted, dialed = pair(t, accepting, New(1, Plan{}))
@@ -172,37 +172,38 @@
 	}
 }
 
-// The bytes of a blocked write leave after a while. If its deadline passes before, even one set meanwhile, or the connection is
-// closed, nothing leaves.
-func TestBlockedWrites(t *testing.T) {
+// A blocked write sends its bytes after a delay. It sends nothing if its deadline passes during the delay, even a deadline that was
+// set during it, or if the connection is closed.
+func TestBlockedWriteEndsByDelayDeadlineOrClose(t *testing.T) {
 	dialing := New(1, Plan{Dialed: Rates{BlockedWrite: 1}, LongestBlock: 30 * time.Millisecond})
 	accepted, dialed := pair(t, New(1, Plan{}), dialing)
 	before := time.Now()
 	if n, err := dialed.Write([]byte("x")); n != 1 || err != nil || time.Since(before) < 3*time.Millisecond {
-		t.Errorf("%d, %v after %v", n, err, time.Since(before))
+		t.Errorf("Write returned %d, %v after %v, want 1, nil after at least 3 ms", n, err, time.Since(before))
 	}
 	if _, err := io.ReadFull(accepted, make([]byte, 1)); err != nil {
 		t.Error(err)
 	}
 	for name, end := range map[string]func(net.Conn){
-		"deadline before":    func(c net.Conn) { c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) },
-		"deadline meanwhile": func(c net.Conn) { time.AfterFunc(5*time.Millisecond, func() { c.SetWriteDeadline(longPast) }) },
-		"close":              func(c net.Conn) { time.AfterFunc(5*time.Millisecond, func() { c.Close() }) },
+		"deadline set before":       func(c net.Conn) { c.SetWriteDeadline(time.Now().Add(5 * time.Millisecond)) },
+		"deadline set during write": func(c net.Conn) { time.AfterFunc(5*time.Millisecond, func() { c.SetWriteDeadline(longPast) }) },
+		"close":                     func(c net.Conn) { time.AfterFunc(5*time.Millisecond, func() { c.Close() }) },
 	} {
 		accepted, dialed = pair(t, New(1, Plan{}), New(1, Plan{Dialed: Rates{BlockedWrite: 1}, LongestBlock: time.Hour}))
 		end(dialed)
 		n, err := dialed.Write([]byte("x"))
 		if n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed) {
-			t.Errorf("%s: %d, %v", name, n, err)
+			t.Errorf("%s: Write returned %d, %v, want 0 and a deadline or close error", name, n, err)
 		}
 		dialed.Close()
 		if b, err := io.ReadAll(accepted); len(b) > 0 || err != nil {
-			t.Errorf("%s: %q had left, %v", name, b, err)
+			t.Errorf("%s: the peer read %q, %v, want nothing", name, b, err)
 		}
 	}
 }
 
-// timerlessConn is a connection whose write deadlines have no effect, as before the runtime's timers run again after a pause.
+// timerlessConn is a connection whose write deadlines have no effect, as after a pause of the process, before the runtime has run
+// its timers.
 type timerlessConn struct {
 	net.Conn
 	written int
@@ -215,68 +216,68 @@
 	return len(b), nil
 }
 
-// The time that it takes to inject a fault counts against the write's deadline.
-func TestDeadlinePassesWhileAFaultIsInjected(t *testing.T) {
-	const injecting = 10 * time.Millisecond
+// The time that it takes to inject a fault counts towards the write's deadline.
+func TestWriteDeadlinePassesDuringInjection(t *testing.T) {
+	const injectionTime = 10 * time.Millisecond
 	for name, test := range map[string]struct {
-		within  time.Duration
-		written int
-		want    error
+		deadlineIn  time.Duration
+		wantWritten int
+		wantErr     error
 	}{
-		"passed":     {injecting / 2, 0, os.ErrDeadlineExceeded},
+		"passed":     {injectionTime / 2, 0, os.ErrDeadlineExceeded},
 		"not passed": {time.Hour, 3, nil},
 	} {
 		here, there := net.Pipe()
 		defer here.Close()
 		defer there.Close()
 		system := &timerlessConn{Conn: here}
-		faults := Plan{Dialed: Rates{ShortWrite: 1}, LongestPause: time.Millisecond, Injected: func(Fault) { time.Sleep(injecting) }}
+		faults := Plan{Dialed: Rates{ShortWrite: 1}, LongestPause: time.Millisecond, Injected: func(Fault) { time.Sleep(injectionTime) }}
 		c := newConn(New(1, faults), system, OnDialed)
-		c.SetWriteDeadline(time.Now().Add(test.within))
+		c.SetWriteDeadline(time.Now().Add(test.deadlineIn))
 		n, err := c.Write([]byte("xyz"))
-		if !errors.Is(err, test.want) || n != test.written || system.written != test.written {
-			t.Errorf("%s: Write returned %d, %v and wrote %d bytes; want %d, %v", name, n, err, system.written, test.written, test.want)
+		if !errors.Is(err, test.wantErr) || n != test.wantWritten || system.written != test.wantWritten {
+			t.Errorf("%s: Write returned %d, %v and wrote %d bytes; want %d, %v", name, n, err, system.written, test.wantWritten, test.wantErr)
 		}
 	}
 }
 
-// A full send buffer blocks a wait for the descriptor to take bytes, and later writes, until it has room.
-func TestBlockedDescriptors(t *testing.T) {
+// A BlockedWrite delays a wait for the descriptor to become writable, and later writes, until the send buffer has space again.
+func TestBlockedWriteBlocksDescriptor(t *testing.T) {
 	dialing := New(1, Plan{Dialed: Rates{BlockedWrite: 1}, LongestBlock: time.Hour})
 	_, dialed := pair(t, New(1, Plan{}), dialing)
 	raw, err := dialed.(syscall.Conn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	asked := false
+	called := false
 	ready := func(uintptr) bool {
-		asked = true
+		called = true
 		return true
 	}
 	dialed.SetWriteDeadline(time.Now().Add(5 * time.Millisecond))
-	if err := raw.Write(ready); !errors.Is(err, os.ErrDeadlineExceeded) || asked {
-		t.Errorf("%v, asked: %v", err, asked)
+	if err := raw.Write(ready); !errors.Is(err, os.ErrDeadlineExceeded) || called {
+		t.Errorf("blocked: got error %v, called %v, want a passed deadline and no call", err, called)
 	}
 	dialing.Stop()
 	dialed.SetWriteDeadline(time.Now().Add(5 * time.Millisecond))
 	if n, err := dialed.Write([]byte("x")); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("then %d, %v", n, err)
+		t.Errorf("after Stop, still blocked: Write returned %d, %v, want 0 and a passed deadline", n, err)
 	}
 	inner := dialed.(*rawConn).conn
 	inner.mu.Lock()
 	inner.sendBufferFullUntil = time.Time{}
 	inner.mu.Unlock()
 	dialed.SetWriteDeadline(time.Time{})
-	if err := raw.Write(ready); err != nil || !asked {
-		t.Errorf("with room: %v, asked: %v", err, asked)
+	if err := raw.Write(ready); err != nil || !called {
+		t.Errorf("after the block: got error %v, called %v, want nil, true", err, called)
 	}
 	if n, err := dialed.Write([]byte("x")); n != 1 || err != nil {
-		t.Errorf("with room: %d, %v", n, err)
+		t.Errorf("after the block: Write returned %d, %v, want 1, nil", n, err)
 	}
 }
 
-// On a broken connection calls in progress and all later calls fail, and Close resets it.
-func TestBrokenConnections(t *testing.T) {
+// Once a connection is broken, calls in progress and all later calls fail, and Close resets it.
+func TestBrokenConnectionFailsAllCalls(t *testing.T) {
 	for _, kind := range []Kind{TimedOut, HostUnreachable, Reset} {
 		for _, plain := range []bool{true, false} {
 			network := New(1, Plan{Plain: plain})
@@ -286,7 +287,7 @@
 				return err
 			}
 			if raw, ok := here.(syscall.Conn); ok != !plain {
-				t.Fatalf("plain %v: has a descriptor: %v", plain, ok)
+				t.Fatalf("plain %v: has SyscallConn: %v", plain, ok)
 			} else if ok {
 				d, err := raw.SyscallConn()
 				if err != nil {
@@ -296,7 +297,7 @@
 			}
 			waiting := make(chan error, 1)
 			go func() { waiting <- read() }()
-			time.Sleep(5 * time.Millisecond) // the read waits by now as a rule; if not, it fails all the same
+			time.Sleep(5 * time.Millisecond) // usually the read waits by now; otherwise it fails as well
 			network.mu.Lock()
 			network.rates[OnAccepted] = Rates{kind: 1}
 			network.mu.Unlock()
@@ -307,52 +308,53 @@
 			case err := <-waiting:
 				expectError(t, err, "read", "read", errnos[kind])
 			case <-time.After(testTimeout):
-				t.Fatal("the read still waits")
+				t.Fatal("a read in progress does not fail when the connection breaks")
 			}
-			here.SetDeadline(time.Time{}) // does not repair it
+			here.SetDeadline(time.Time{}) // must not repair the connection
 			expectError(t, read(), "read", "read", errnos[kind])
 			here.Close()
 			there.SetDeadline(time.Now().Add(testTimeout))
 			if _, err := there.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("the other side reads %v, want %v", err, syscall.ECONNRESET)
+				t.Errorf("after Close the peer reads %v, want %v", err, syscall.ECONNRESET)
 			}
 		}
 	}
 }
 
-// Faults are drawn inside the windows only. Two networks with the same seed draw the same faults, with other seeds others.
-func TestWindowsAndSeeds(t *testing.T) {
-	far := New(1, Plan{Dial: Rates{Refused: 1}, Windows: []Window{{From: time.Hour, Until: 2 * time.Hour}}})
+// Faults are drawn inside the windows only. Networks with the same seed draw the same faults, and networks with other seeds draw
+// others.
+func TestDrawnFaultsFollowWindowsAndSeed(t *testing.T) {
+	windowed := New(1, Plan{Dial: Rates{Refused: 1}, Windows: []Window{{From: time.Hour, Until: 2 * time.Hour}}})
 	for at, want := range map[time.Duration]bool{0: false, time.Hour - 1: false, time.Hour: true, 2*time.Hour - 1: true, 2 * time.Hour: false} {
-		if on := far.faultsOn(at); on != want {
-			t.Errorf("at %v: %v", at, on)
+		if on := windowed.faultsOn(at); on != want {
+			t.Errorf("at %v: faults on is %v, want the opposite", at, on)
 		}
 	}
-	if kind := far.draw(AtDial, "", Refused); kind != "" {
-		t.Errorf("%s outside the window", kind)
+	if kind := windowed.draw(AtDial, "", Refused); kind != "" {
+		t.Errorf("drew %s outside the window, want no fault", kind)
 	}
-	drawn := func(seed uint64) (all string) {
+	drawAll := func(seed uint64) (kinds string) {
 		n := New(seed, Plan{Dial: Rates{Refused: 0.3, NoMemory: 0.3}})
 		for range 100 {
-			all += string(n.draw(AtDial, "", allowed[AtDial]...)) + " "
+			kinds += string(n.draw(AtDial, "", allowed[AtDial]...)) + " "
 		}
-		return all
+		return kinds
 	}
-	first, second, other := drawn(1), drawn(1), drawn(2)
+	first, second, other := drawAll(1), drawAll(1), drawAll(2)
 	if first != second || first == other {
-		t.Error("the faults drawn do not depend on the seed alone")
+		t.Error("the drawn faults differ for equal seeds or are equal for different seeds")
 	}
-	rate := New(3, Plan{Dial: Rates{Refused: 0.3}})
+	n := New(3, Plan{Dial: Rates{Refused: 0.3}})
 	for range 10000 {
-		rate.draw(AtDial, "", allowed[AtDial]...)
+		n.draw(AtDial, "", allowed[AtDial]...)
 	}
-	if n := rate.Counts()["dial ECONNREFUSED"]; n < 2800 || n > 3200 {
-		t.Errorf("%d faults in 10000 calls at a rate of 0.3, want about 3000", n)
+	if count := n.Counts()["dial ECONNREFUSED"]; count < 2800 || count > 3200 {
+		t.Errorf("%d faults in 10000 calls at a rate of 0.3, want 2800 to 3200", count)
 	}
 }
 
-// Plan.Injected is called with each fault and the address of its connection.
-func TestInjectedIsCalled(t *testing.T) {
+// Plan.Injected is called with each fault and the peer's address of its connection.
+func TestPlanReportsInjectedFaults(t *testing.T) {
 	var mu sync.Mutex
 	var injected []Fault
 	n := New(1, Plan{Accepted: Rates{Reset: 1}, Injected: func(f Fault) {
@@ -363,20 +365,20 @@
 	accepted, dialed := pair(t, n, New(1, Plan{}))
 	accepted.Write([]byte("x"))
 	if len(injected) != 1 || injected[0] != (Fault{OnAccepted, Reset, dialed.LocalAddr().String()}) {
-		t.Errorf("%v", injected)
+		t.Errorf("got faults %v, want one reset of the accepted connection", injected)
 	}
 }
 
 // New panics on an invalid plan.
-func TestImpossiblePlans(t *testing.T) {
+func TestNewPanicsOnInvalidPlan(t *testing.T) {
 	for name, plan := range map[string]Plan{
-		"kind that cannot occur there": {Accept: Rates{Refused: 0.1}},
-		"rates over one":               {Dial: Rates{Refused: 0.6, NoMemory: 0.6}},
+		"kind that is not allowed": {Accept: Rates{Refused: 0.1}},
+		"sum of rates above 1":     {Dial: Rates{Refused: 0.6, NoMemory: 0.6}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			defer func() {
 				if recover() == nil {
-					t.Error("New accepted the plan")
+					t.Error("New did not panic")
 				}
 			}()
 			New(1, plan)
