--- a/internal/testing/faultproxy/connection.go
+++ b/internal/testing/faultproxy/connection.go
@@ -1,6 +1,6 @@
 package faultproxy
 
-// This file holds one connection through a link, from when it is accepted until it is reset.
+// This file holds one connection through a link, from its accept to its reset.
 
 import (
 	"net"
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// connection is a client's connection to a link together with the link's own to the target.
+// connection is a client's connection to a link, together with the link's own connection to the target.
 type connection struct {
 	link   *Link
 	client net.Conn
 	server net.Conn      // nil until the target was dialed; guarded by link.mu
 	ended  chan struct{} // closed by reset
-	once   sync.Once     // makes sure that reset acts once
+	once   sync.Once     // makes reset take effect only once
 }
 
 const (
-	dropTimeout = time.Minute // how long a connection waits for a link that drops before it is reset
+	dropTimeout = time.Minute // how long a connection waits for a link to stop dropping before it is reset
 	dialTimeout = time.Second // until the target accepts
 )
 
-// open dials the target once the link does not drop any more, and starts forwarding in both directions.
+// open dials the target once the link passes bytes, and starts forwarding in both directions.
 func (c *connection) open() {
 	refusesOrPasses := func(fault Fault) bool { return fault.Refuse || !fault.Drop }
 	fault, ok := c.awaitFault(Forward, refusesOrPasses)
@@ -43,7 +43,7 @@
 	c.link.network.goroutines.Go(func() { c.forward(Reverse, server, c.client) })
 }
 
-// setServer keeps the connection to the target. It returns false if the connection was reset meanwhile.
+// setServer sets the connection to the target. It returns false if the connection was reset before.
 func (c *connection) setServer(server net.Conn) bool {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
@@ -51,8 +51,8 @@
 	return c.link.connections[c]
 }
 
-// awaitFault waits until the fault in a direction is acceptable, and returns that fault. It returns false if the connection
-// ends or dropTimeout passes before.
+// awaitFault waits until the fault in a direction is acceptable, and returns that fault. It returns false if the
+// connection ends or dropTimeout passes first.
 func (c *connection) awaitFault(direction Direction, acceptable func(Fault) bool) (Fault, bool) {
 	fault, changed := c.link.fault(direction)
 	if acceptable(fault) {
@@ -73,7 +73,7 @@
 	return fault, true
 }
 
-// wait pauses. It returns false at once if the connection ends.
+// wait pauses for the given time. It returns false as soon as the connection ends.
 func (c *connection) wait(pause time.Duration) bool {
 	if pause <= 0 {
 		select {
@@ -103,7 +103,7 @@
 	}
 }
 
-// reset ends both sides with a TCP reset. Only the first call has an effect.
+// reset closes both sides with a TCP reset. Only the first call has an effect.
 func (c *connection) reset() {
 	c.once.Do(func() {
 		close(c.ended)
--- a/internal/testing/faultproxy/fault.go
+++ b/internal/testing/faultproxy/fault.go
@@ -1,6 +1,6 @@
 package faultproxy
 
-// This file describes faults: the direction of a link in which they act, and their effects.
+// This file defines faults: their effects, and the direction of a link in which they apply.
 
 import (
 	"fmt"
@@ -21,11 +21,12 @@
 // String returns the direction's name in the text of commands.
 func (d Direction) String() string { return [...]string{"both ways", "forward", "back"}[d] }
 
-// Fault is the set of effects that a link has in one direction until it heals. The zero value passes everything on at once.
+// Fault is the set of effects that a link has in one direction until it heals. The zero value forwards
+// everything without delay.
 type Fault struct {
-	// Drop partitions the link: nothing passes, and neither side is notified. Bytes wait for up to dropTimeout.
+	// Drop partitions the link: nothing passes, and neither side gets an error. Bytes wait for up to dropTimeout.
 	Drop bool `yaml:"drop"`
-	// Latency is how long bytes wait before they go on. A random time of up to Jitter is added to it. Bytes stay in order.
+	// Latency is the delay of bytes. A random time of up to Jitter is added to it. Bytes stay in order.
 	Latency time.Duration `yaml:"delay"`
 	Jitter  time.Duration `yaml:"jitter"`
 	// Bandwidth limits each connection, in bytes a second; 0 means no limit.
--- a/internal/testing/faultproxy/faults_test.go
+++ b/internal/testing/faultproxy/faults_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A link that drops passes nothing in the direction, not even on new connections. The bytes that waited arrive once it heals.
-// Other links pass meanwhile. A connection survives any number of faults.
+// A link that drops forwards nothing in the direction, not even on new connections. The bytes that waited arrive once it heals.
+// Other links forward bytes meanwhile. A connection survives several faults.
 func TestDropHoldsBytesUntilHealed(t *testing.T) {
 	network := newNetwork(t)
 	link, otherLink := addEchoLink(t, network, "a>b"), addEchoLink(t, network, "a>c")
@@ -22,7 +22,7 @@
 	for _, direction := range []Direction{Both, Forward, Reverse} {
 		network.SetFault("*>b", direction, Fault{Drop: true})
 		if got, err := dropped.exchange("held", 100*time.Millisecond); !isTimeout(err) {
-			t.Errorf("%s: through the link that drops: got %q, %v, want a timeout", direction, got, err)
+			t.Errorf("%s: through the dropping link: got %q, %v, want a timeout", direction, got, err)
 		}
 		if got, err := passing.exchange("y", time.Second); got != "y\n" {
 			t.Errorf("%s: through the other link: got %q, %v, want the line back", direction, got, err)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A limited bandwidth delays bytes by the time that they take.
+// A limited bandwidth delays bytes by their transfer time.
 func TestBandwidth(t *testing.T) {
 	network := newNetwork(t)
 	conn := dial(t, addEchoLink(t, network, "a>b"))
@@ -71,7 +71,7 @@
 	}
 }
 
-// A link that corrupts every chunk changes what passes.
+// A link that corrupts every chunk changes the forwarded bytes.
 func TestCorruption(t *testing.T) {
 	network := newNetwork(t)
 	conn := dial(t, addEchoLink(t, network, "a>b"))
@@ -87,9 +87,9 @@
 	link := addEchoLink(t, network, "a>b")
 	network.SetFault("a>b", Both, Fault{Refuse: true})
 	conn, err := net.Dial("tcp", link.Addr())
-	if err != nil { // the reset may end the dialing itself
+	if err != nil { // the reset may already fail the dial
 		if !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("dialing fails with %v, want a reset", err)
+			t.Errorf("dial failed with %v, want a reset", err)
 		}
 		return
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-// A fault replaces the one before in its direction. An open connection survives them all, until it is reset.
+// A fault replaces the previous fault in its direction. An open connection survives all faults until it is reset.
 func TestOpenConnectionSurvivesFaultsUntilReset(t *testing.T) {
 	network := newNetwork(t)
 	conn := dial(t, addEchoLink(t, network, "a>b"))
@@ -129,7 +129,7 @@
 			t.Errorf("with %s: %v", fault, err)
 		}
 		if _, err := conn.reader.ReadByte(); err != nil {
-			t.Errorf("with %s: nothing comes back: %v", fault, err)
+			t.Errorf("with %s: no byte comes back: %v", fault, err)
 		}
 	}
 	network.Heal("*")
@@ -149,7 +149,7 @@
 	}
 }
 
-// A connection is reset after a number of bytes. No byte past these arrives.
+// ResetAfter resets a connection after a number of bytes. No later byte arrives.
 func TestResetAfterBytes(t *testing.T) {
 	const resetAfter = 10
 	network := newNetwork(t)
--- a/internal/testing/faultproxy/forward.go
+++ b/internal/testing/faultproxy/forward.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	queueLength = 256      // chunks in flight in one direction; once there are so many the sender waits
+	queueLength = 256      // chunks in flight in one direction; when the queue is full, the sender waits
 	maxReadSize = 16 << 10 // largest chunk in bytes
-	minReadSize = 1 << 10  // first size of the read buffer in bytes: there are many links, and most carry little
+	minReadSize = 1 << 10  // initial size of the read buffer in bytes, small as there are many links and most carry little
 
 	resetDelay = time.Millisecond      // between the last bytes and a reset, so that the bytes arrive
-	closeDelay = 50 * time.Millisecond // between the target's end of file and the end of the connection
+	closeDelay = 50 * time.Millisecond // between the target's end of file and the reset of the connection
 )
 
 // chunk holds the bytes that one read returned.
@@ -23,8 +23,8 @@
 	due  time.Time // when it may be written
 }
 
-// forward carries bytes in one direction until either side ends. A goroutine of its own reads ahead, so that bytes that wait
-// for a latency do not hold up later reads.
+// forward carries bytes in one direction until either side ends. A separate goroutine reads ahead, so that bytes that wait for
+// their latency do not delay later reads.
 func (c *connection) forward(direction Direction, from, to net.Conn) {
 	queue := make(chan chunk, queueLength)
 	c.link.network.goroutines.Go(func() {
@@ -94,7 +94,7 @@
 	return true
 }
 
-// write writes data under the link's present fault, which may corrupt the data. It returns false if the connection must be
+// write writes data with the link's present fault applied, which may corrupt the data. It returns false if the connection must be
 // reset.
 func (c *connection) write(direction Direction, data []byte, to net.Conn) bool {
 	fault, ok := c.awaitFault(direction, func(fault Fault) bool { return !fault.Drop })
@@ -108,8 +108,8 @@
 	if fault.Bandwidth > 0 && !c.wait(transferTime(len(data), fault.Bandwidth)) {
 		return false
 	}
-	if after, due := c.link.takeReset(direction, len(data)); due {
-		to.Write(data[:after])
+	if before, due := c.link.takeReset(direction, len(data)); due {
+		to.Write(data[:before])
 		time.Sleep(resetDelay)
 		return false
 	}
@@ -128,7 +128,7 @@
 	data[at] ^= 1 << int(n.draw()*8)
 }
 
-// endDirection passes the sender's end of file on. If the sender is the target, the connection is reset after closeDelay.
+// endDirection forwards the sender's end of file. If the sender is the target, it resets the connection after closeDelay.
 func (c *connection) endDirection(direction Direction, to net.Conn) {
 	if tcp, ok := to.(*net.TCPConn); !ok || tcp.CloseWrite() != nil { // the connection was reset before
 		c.reset()
--- a/internal/testing/faultproxy/link.go
+++ b/internal/testing/faultproxy/link.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Link is a proxy in front of one target. It listens at an address of its own, which its users dial in place of the target's
+// Link is a proxy in front of one target. It listens at its own address, which its users dial in place of the target's
 // address. It is safe for concurrent use.
 type Link struct {
 	Name     string // such as n0>n1
@@ -29,16 +29,16 @@
 // Stats are the statistics of a link's connections.
 type Stats struct {
 	Open  int // connections open now
-	Reset int // connections that Network.Reset ended
-	// FirstResponses holds the time of each connection's first byte in the reverse direction, in order, of the latest
-	// 4,096 connections that had one.
+	Reset int // connections that Network.Reset has reset
+	// FirstResponses holds the times of the first byte in the reverse direction, in order, for the latest 4,096 connections
+	// that had one.
 	FirstResponses []time.Time
 }
 
 // maxFirstResponses bounds Stats.FirstResponses.
 const maxFirstResponses = 4096
 
-// acceptRetryDelay is the pause after a failed accept, which fails for instance when the process is out of file descriptors.
+// acceptRetryDelay is the pause after a failed accept. An accept fails, for example, if the process has no free file descriptor.
 const acceptRetryDelay = time.Millisecond
 
 // Addr returns the host:port that users of the link dial.
@@ -54,7 +54,7 @@
 	return stats
 }
 
-// recordFirstResponse records that a connection passes its first byte from the target now.
+// recordFirstResponse records that a connection has just forwarded its first byte from the target.
 func (l *Link) recordFirstResponse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -64,7 +64,7 @@
 	l.stats.FirstResponses = append(l.stats.FirstResponses, time.Now())
 }
 
-// countReset counts connections that Network.Reset is about to end.
+// countReset counts connections that Network.Reset is about to reset.
 func (l *Link) countReset(connections int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,13 +81,13 @@
 	return open
 }
 
-// setFault replaces the fault in a direction or both, and wakes the connections that wait for a change.
+// setFault replaces the fault in one or both directions, and notifies the connections that wait for a change.
 func (l *Link) setFault(direction Direction, fault Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, each := range [...]Direction{Forward, Reverse} {
-		if direction == Both || direction == each {
-			l.faults[each] = fault
+	for _, affected := range [...]Direction{Forward, Reverse} {
+		if direction == Both || direction == affected {
+			l.faults[affected] = fault
 		}
 	}
 	close(l.changed)
@@ -101,16 +101,16 @@
 	return l.faults[direction], l.changed
 }
 
-// setResetAfter makes the link reset a connection after so many more bytes in the forward direction, at least 1.
+// setResetAfter makes the link reset a connection after the given number of further bytes in the forward direction, at least 1.
 func (l *Link) setResetAfter(bytes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.resetAfter = max(1, bytes)
 }
 
-// takeReset reports whether a reset is due within the next size bytes of a direction, and after how many of them. A reset that
-// is reported is not due any more. If no reset is reported, the bytes count as passed.
-func (l *Link) takeReset(direction Direction, size int) (after int, due bool) {
+// takeReset reports whether a reset is due within the next size bytes of a direction, and how many of these bytes are forwarded
+// before it. It reports each reset once. If no reset is due, the bytes count as forwarded.
+func (l *Link) takeReset(direction Direction, size int) (before int, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if direction != Forward || l.resetAfter == 0 {
@@ -120,9 +120,9 @@
 		l.resetAfter -= size
 		return 0, false
 	}
-	after = l.resetAfter
+	before = l.resetAfter
 	l.resetAfter = 0
-	return after, true
+	return before, true
 }
 
 // acceptConnections accepts connections until the link is closed.
@@ -167,7 +167,7 @@
 	return l.closed
 }
 
-// close ends the listener and resets all connections.
+// close closes the listener and resets all connections.
 func (l *Link) close() {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/testing/faultproxy/link_test.go
+++ b/internal/testing/faultproxy/link_test.go
@@ -8,9 +8,9 @@
 	"indigochute.example/indigochute/internal/testing/poll"
 )
 
-// All bytes that pass a link arrive, whatever their number. The link's statistics count the connections that are open, that had
-// a response and that were reset.
-func TestLinkCarriesAllBytesAndCounts(t *testing.T) {
+// All bytes that are sent through a link arrive. The link's statistics count the connections that are open, that had a response
+// and that were reset.
+func TestLinkForwardsAllBytesAndCountsConnections(t *testing.T) {
 	network := newNetwork(t)
 	link := addEchoLink(t, network, "a>b")
 	text := make([]byte, 600<<10)
@@ -25,9 +25,9 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(text) {
-		t.Fatal("other bytes came back than were sent")
+		t.Fatal("the bytes that came back differ from those that were sent")
 	}
-	idle := dial(t, link) // sends nothing, and so has no response
+	idle := dial(t, link) // sends nothing, so it gets no response
 	poll.Until(5*time.Second, time.Millisecond, func() bool { return link.Stats().Open >= 2 })
 
 	if stats := link.Stats(); stats.Open != 2 || stats.Reset != 0 || len(stats.FirstResponses) != 1 {
--- a/internal/testing/faultproxy/network.go
+++ b/internal/testing/faultproxy/network.go
@@ -1,10 +1,10 @@
 // Package faultproxy puts TCP proxies between processes and injects network faults there: drops (partitions), latency,
-// jitter, limited bandwidth, corruption and resets. Many links are controlled together, by call or by schedule. Random
-// faults are drawn from one seed.
+// jitter, limited bandwidth, corruption and resets. Links are controlled in groups, by calls or by a schedule. Random faults
+// are drawn from one seed.
 //
-// Links carry TCP streams, so a link that drops does not lose the bytes that it has read. They wait, as they would at a sender
-// whose packets are lost, and go on once the link heals, if the connection still exists then. While a link drops, it accepts
-// new connections, but they receive nothing.
+// Links carry TCP streams, so a link that drops does not lose the bytes that it has read. The bytes wait, as at a sender whose
+// packets are lost. Once the link heals they are forwarded, if the connection still exists then. While a link drops, it
+// accepts new connections but forwards nothing on them.
 package faultproxy
 
 import (
@@ -16,7 +16,7 @@
 
 // Network is a set of links that share one random source. It is safe for concurrent use.
 type Network struct {
-	goroutines sync.WaitGroup // of the links and their connections; Close waits for them
+	goroutines sync.WaitGroup // of the links and their connections
 	onCommand  func(command string)
 
 	mu     sync.Mutex // guards the fields below
@@ -87,7 +87,7 @@
 	}
 }
 
-// Heal ends the faults of the links that match the pattern. Connections that were accepted during a fault go on.
+// Heal ends the faults of the links that match the pattern. Connections that were accepted during a fault continue.
 func (n *Network) Heal(pattern string) { n.SetFault(pattern, Both, Fault{}) }
 
 // Reset resets the open connections of the links that match the pattern.
@@ -103,7 +103,7 @@
 }
 
 // HalfClose ends the forward direction of the open connections of the links that match the pattern. The target reads an end of
-// file, as from a client that sends no more but still reads.
+// file, as if the client had closed its writing side.
 func (n *Network) HalfClose(pattern string) {
 	n.onCommand("half-close " + pattern)
 	for _, link := range n.Links(pattern) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// ResetAfter makes each link that matches the pattern reset a connection once so many more bytes, at least 1, have passed in
-// the forward direction. That is usually in the middle of a frame.
+// ResetAfter makes each link that matches the pattern reset a connection after the given number of further bytes, at least 1,
+// in the forward direction. The reset usually falls into the middle of a frame.
 func (n *Network) ResetAfter(pattern string, bytes int) {
 	n.onCommand(fmt.Sprintf("cut %s after %d bytes", pattern, bytes))
 	for _, link := range n.Links(pattern) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// Close ends all links, resets their connections and waits until their goroutines have ended, which takes at most dialTimeout.
+// Close closes all links, resets their connections and waits until their goroutines have ended, which takes at most dialTimeout.
 func (n *Network) Close() {
 	n.mu.Lock()
 	links := n.links
--- a/internal/testing/faultproxy/schedule.go
+++ b/internal/testing/faultproxy/schedule.go
@@ -12,7 +12,7 @@
 // Action is the command of a step.
 type Action string
 
-// The actions of a schedule. Each stands for the method of Network in its comment.
+// The actions of a schedule. Each calls the method of Network in its comment.
 const (
 	SetFaultAction   Action = "set"        // SetFault
 	HealAction       Action = "heal"       // Heal
@@ -34,7 +34,7 @@
 	Bytes     int           `yaml:"bytes"` // for ResetAfterAction
 }
 
-// Apply applies a step at once, whatever its time. It returns an error that wraps ErrUnknownAction if its action does not
+// Apply applies a step at once and ignores its time. It returns an error that wraps ErrUnknownAction if its action does not
 // exist.
 func (n *Network) Apply(step Step) error {
 	switch step.Action {
@@ -54,8 +54,8 @@
 	return nil
 }
 
-// RunSchedule applies the steps, which are in the order of their times, counted from now. It returns after the last step, or
-// with the error of the first step that fails, or with the error of ctx once that ends.
+// RunSchedule applies the steps, which must be in the order of their times. The times count from the call. RunSchedule returns
+// after the last step, or with the error of the first step that fails, or with the error of ctx once ctx ends.
 func (n *Network) RunSchedule(ctx context.Context, steps []Step) error {
 	start := time.Now()
 	for _, step := range steps {
