--- a/internal/testing/testcluster/cluster.go
+++ b/internal/testing/testcluster/cluster.go
@@ -1,10 +1,10 @@
-// Package testcluster starts several director processes of the built program in front of emulated machines. There is a fault
+// Package testcluster runs several director processes of the built program in front of emulated machines. There is a fault
 // proxy on every link: between directors, to the machines, and to the counter that periodic jobs call. Processes can be
-// killed, paused, resumed, restarted and shut down; events are recorded by one clock. Everything that the package starts ends
-// with Close, and at the latest with the calling process.
+// killed, paused, resumed, restarted and shut down. Events are recorded with the times of one clock. Close ends everything that
+// the package starts. Processes also end when the calling process does.
 package testcluster
 
-// This file starts and ends a cluster.
+// This file starts and closes a cluster.
 
 import (
 	"fmt"
@@ -27,16 +27,16 @@
 	Program   string // path of the built program
 	Directors int    // number of director processes, which are named n0, n1 and so on
 	Seed      uint64
-	Topology  string // YAML of the emulated machines, in which %d is the number of directors; empty means SmallTopology
+	Topology  string // YAML of the emulated machines, in which %d stands for the number of directors; empty means SmallTopology
 
 	// ClusterConfig is YAML that follows the list of instances in each cluster configuration file. COUNTER in it stands for
 	// the address of the counter.
 	ClusterConfig   string
-	NoClusterConfig bool      // there are no cluster configuration files: directors know of no other
-	SingleMember    bool      // each cluster configuration file names only its own director
-	ClockRates      []float64 // speed of each instance's lease clock relative to real time; 1 for instances past the end
+	NoClusterConfig bool      // directors have no cluster configuration file and run independently
+	SingleMember    bool      // each cluster configuration file lists only its own director
+	ClockRates      []float64 // speed of each instance's lease clock relative to real time; 1 for instances without an element
 
-	// Processes, if set, are run in place of Directors.
+	// Processes, if set, lists the processes to run, and Directors is ignored.
 	Processes []ProcessSpec
 	// ClusterConfigFor, if set, returns the text of a process's cluster configuration file in place of the default text.
 	ClusterConfigFor func(c *Cluster, p *Process) (string, error)
@@ -48,7 +48,7 @@
 	ServesClients bool // clients of the emulated machines connect to it
 }
 
-// complete fills in the defaults. After it Processes lists all processes, and Directors is the number of those that serve
+// complete fills in the defaults. Afterwards Processes lists all processes, and Directors is the number of those that serve
 // clients.
 func (o *Options) complete() {
 	if o.Topology == "" {
@@ -120,8 +120,8 @@
 	return c.startProcesses()
 }
 
-// linkMachine opens the link to a machine, which listens at address. It returns the link's address, which directors are given
-// for the machine.
+// linkMachine opens the link to a machine, which listens at address. It returns the address of the link, which is announced to
+// directors in place of the machine's own.
 func (c *Cluster) linkMachine(machine topology.Machine, address netip.AddrPort) (netip.AddrPort, error) {
 	link, err := c.Network.AddLink(">"+machine.Name, address.String())
 	if err != nil {
@@ -130,7 +130,7 @@
 	return netip.ParseAddrPort(link.Addr())
 }
 
-// addProcesses gives all processes their addresses, without starting them.
+// addProcesses creates all processes and chooses their addresses, without starting them.
 func (c *Cluster) addProcesses() error {
 	directors := 0
 	for i, spec := range c.options.Processes {
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// chooseAddresses sets the addresses at which the process will listen. Clients of the emulated machines connect to it from
-// now on if it serves them.
+// chooseAddresses sets the addresses at which the process will listen. If it serves clients, it also registers the process with
+// the emulator, whose clients connect to it from then on.
 func (p *Process) chooseAddresses(servesClients bool) (err error) {
 	if servesClients {
 		p.ClientAddress, p.reportEnded, err = p.cluster.Emulator.AddExternalDirector(0)
@@ -186,7 +186,7 @@
 	return nil
 }
 
-// Close ends all that the cluster started.
+// Close ends everything that the cluster started.
 func (c *Cluster) Close() {
 	for _, p := range c.Processes {
 		p.Kill()
--- a/internal/testing/testcluster/cluster_test.go
+++ b/internal/testing/testcluster/cluster_test.go
@@ -1,6 +1,6 @@
 package testcluster
 
-// This file builds the program, holds the helpers that the tests share, and tests how a cluster starts and ends.
+// This file builds the program, holds the helpers that the tests share, and tests that Close ends all processes.
 
 import (
 	"fmt"
@@ -19,8 +19,8 @@
 func TestMain(m *testing.M) { os.Exit(RunWithProgram(&program, m.Run)) }
 
 const (
-	maxTakeover     = 10 * time.Second // from any single loss until all jobs run again
-	settleAllowance = 5 * time.Second  // beyond maxTakeover, until each director owns its share of the jobs
+	maxTakeover     = 10 * time.Second // from the loss of directors or links until all jobs run again
+	settleAllowance = 5 * time.Second  // in addition to maxTakeover, until each director owns its share of the jobs
 )
 
 // countJobsConfig is the default cluster configuration of the tests, with four jobs that call the counter.
@@ -71,11 +71,11 @@
 	t.Helper()
 	t.Parallel()
 	c := start(t, options)
-	c.await(t, "parts settled", maxTakeover+settleAllowance, c.jobsSettled)
+	c.await(t, "each job has one owner and each director its share", maxTakeover+settleAllowance, c.jobsSettled)
 	return c
 }
 
-// jobsSettled reports whether every job has exactly one owner and as many directors as possible own one.
+// jobsSettled reports whether every job has exactly one owner and as many directors as possible own a job.
 func (c *Cluster) jobsSettled() bool {
 	owners := map[string]bool{}
 	for _, claimants := range c.Owners() {
@@ -110,14 +110,14 @@
 // awaitRuns waits until each of the countJobs has started another run.
 func (c *Cluster) awaitRuns(t *testing.T, condition string, within time.Duration) time.Duration {
 	t.Helper()
-	from := c.Now()
-	return c.await(t, condition, within, func() bool { return c.Counter.AllRanSince(countJobs, from) })
+	start := c.Now()
+	return c.await(t, condition, within, func() bool { return c.Counter.AllRanSince(countJobs, start) })
 }
 
 // awaitOneLeader waits until exactly one process reports that it is the leader.
 func (c *Cluster) awaitOneLeader(t *testing.T) {
 	t.Helper()
-	c.await(t, "one keeper", maxTakeover, func() bool {
+	c.await(t, "exactly one leader", maxTakeover, func() bool {
 		leaders := 0
 		for _, p := range c.Processes {
 			if status, err := p.Status(); err == nil && status.Lease.Role == leaderRole {
@@ -133,14 +133,14 @@
 func (c *Cluster) checkRules(t *testing.T) {
 	t.Helper()
 	if overlaps := c.Counter.Overlaps(); overlaps > 0 {
-		t.Errorf("%d runs overlapped, want none", overlaps)
+		t.Errorf("%d overlapping runs, want none", overlaps)
 	}
 	for _, violation := range c.Emulator.Violations() {
 		t.Error(violation)
 	}
 }
 
-// others returns all processes except one.
+// others returns all processes except the given one.
 func (c *Cluster) others(except *Process) []*Process {
 	return slices.DeleteFunc(slices.Clone(c.Processes), func(p *Process) bool { return p == except })
 }
@@ -156,7 +156,7 @@
 			}
 		}
 	}
-	t.Fatal("no process but the leader owns a job")
+	t.Fatal("no process except the leader owns a job")
 	return nil, ""
 }
 
--- a/internal/testing/testcluster/config.go
+++ b/internal/testing/testcluster/config.go
@@ -1,7 +1,7 @@
 package testcluster
 
-// This file writes the configuration files of processes. In them the addresses of other processes are those of links of the
-// fault proxy.
+// This file writes the configuration files of processes. The files list other processes with the addresses of fault proxy
+// links.
 
 import (
 	"fmt"
@@ -14,12 +14,12 @@
 // configMode is the file mode of all configuration files.
 const configMode = 0o600
 
-// path returns the path of a file of the process, whose name ends with the suffix.
+// path returns the path of the process's file with the given suffix.
 func (p *Process) path(suffix string) string { return filepath.Join(p.cluster.dir, p.Name+suffix) }
 
 func (p *Process) clusterConfigPath() string { return p.path(".yaml") }
 
-// writeClusterConfig writes the cluster configuration file, unless the options say that there is none.
+// writeClusterConfig writes the cluster configuration file, unless Options.NoClusterConfig is set.
 func (p *Process) writeClusterConfig() error {
 	options := &p.cluster.options
 	if options.NoClusterConfig {
@@ -63,8 +63,8 @@
 	return text.String(), nil
 }
 
-// addressOf returns the address of a member in the file of this process: its own listen address for the process itself, and
-// the address of a new link for any other.
+// addressOf returns the address of a member for the file of this process: the listen address for the process itself, and the
+// address of a new link for any other process.
 func (p *Process) addressOf(member *Process) (string, error) {
 	if member == p {
 		return p.PeerAddress, nil
@@ -79,8 +79,8 @@
 // counterLink returns the name of the link over which the process calls the counter.
 func (p *Process) counterLink() string { return p.Name + ">counter" }
 
-// EditClusterConfig replaces the text of the cluster configuration file by what change returns, and makes the process reload
-// it with SIGHUP.
+// EditClusterConfig replaces the text of the cluster configuration file by the result of change, and sends SIGHUP so that the
+// process reloads the file.
 func (p *Process) EditClusterConfig(change func(old string) string) error {
 	old, err := os.ReadFile(p.clusterConfigPath())
 	if err != nil {
@@ -93,10 +93,10 @@
 	if err := os.Rename(replacement, p.clusterConfigPath()); err != nil {
 		return err
 	}
-	return p.signal(syscall.SIGHUP, "reads its files again")
+	return p.signal(syscall.SIGHUP, "reloading its configuration")
 }
 
-// writeConfig writes the configuration file of the platform, which ROUTER_CONFIG names, and returns its path.
+// writeConfig writes the configuration file to which ROUTER_CONFIG points, and returns its path.
 func (p *Process) writeConfig() (path string, err error) {
 	raw, err := p.cluster.Emulator.NamedDirectorConfig(p.Name, 0, p.directorIndex, p.ClientAddress.String())
 	if err != nil {
--- a/internal/testing/testcluster/counter.go
+++ b/internal/testing/testcluster/counter.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// callDuration is how long the counter takes to answer the start of a run. It is long enough that overlapping runs are
-	// noticed.
+	// callDuration is how long the counter takes to answer the start of a run. It is long enough for overlapping runs to be
+	// detected.
 	callDuration = 40 * time.Millisecond
 
 	// afterRelease is how long after ReleaseCalls a delayed call may still arrive.
@@ -33,9 +33,9 @@
 	server  *peer.QueryServer
 
 	mu         sync.Mutex           // guards the fields below
-	jobs       map[string]*jobState // by name
+	jobs       map[string]*jobState // by job name
 	calls      []Call
-	releasedAt map[string]time.Duration // last ReleaseCalls, by sender
+	releasedAt map[string]time.Duration // time of the last ReleaseCalls, by sender
 }
 
 // Call is one call that arrived at the counter.
@@ -56,7 +56,7 @@
 	overlaps     int      // starts that arrived during another one
 }
 
-var errStaleToken = errors.New("an older fencing number than one seen before")
+var errStaleToken = errors.New("fencing token is lower than one seen before")
 
 func newCounter(cluster *Cluster) (*Counter, error) {
 	c := &Counter{cluster: cluster, jobs: map[string]*jobState{}, releasedAt: map[string]time.Duration{}}
@@ -102,8 +102,8 @@
 	job.highestToken = max(job.highestToken, call.FencingToken)
 	c.calls = append(c.calls, call)
 	if call.Rejected {
-		c.cluster.AddEvent("counter", fmt.Sprintf("refused %s of %s under %d, %d was seen", call.Job, call.Sender,
-			call.FencingToken, job.highestToken))
+		c.cluster.AddEvent("counter", fmt.Sprintf("rejected a call for %s from %s with fencing token %d; token %d was seen before",
+			call.Job, call.Sender, call.FencingToken, job.highestToken))
 		return call, nil, errStaleToken
 	}
 	return call, job, nil
@@ -118,8 +118,8 @@
 	time.Sleep(callDuration)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	own := slices.Index(job.starting, sender)
-	job.starting = slices.Delete(job.starting, own, own+1)
+	index := slices.Index(job.starting, sender)
+	job.starting = slices.Delete(job.starting, index, index+1)
 	return nil, nil
 }
 
@@ -132,12 +132,12 @@
 		return nil, "", err
 	}
 	for _, earlier := range job.starting {
-		// A call that was held past the end of its lease is still accepted if no higher token was seen. It may overlap.
+		// A call that was held past the end of its lease is still accepted if no higher token was seen. Such a call may overlap.
 		if c.releasedRecently(earlier) {
 			continue
 		}
 		job.overlaps++
-		c.cluster.AddEvent("counter", "a run of "+call.Sender+" began while one of "+earlier+" was under way")
+		c.cluster.AddEvent("counter", "a run of "+call.Sender+" started while the start of a run of "+earlier+" was being answered")
 	}
 	job.starting = append(job.starting, call.Sender)
 	return job, call.Sender, nil
@@ -163,7 +163,7 @@
 	c.cluster.Network.SetFault(p.counterLink(), faultproxy.Forward, faultproxy.Fault{Drop: true})
 }
 
-// ReleaseCalls lets the calls of a process through again, including the delayed ones.
+// ReleaseCalls ends the delay of the calls of a process. Calls that were delayed arrive now.
 func (c *Counter) ReleaseCalls(p *Process) {
 	c.mu.Lock()
 	c.releasedAt[p.Name] = c.cluster.Now()
@@ -178,8 +178,8 @@
 	return slices.Clone(c.calls)
 }
 
-// Overlaps counts the starts of runs that arrived while another start of the same job was being answered. An overlap with a
-// call that had been held by HoldCalls does not count.
+// Overlaps counts the starts of runs that arrived while another start of the same job was being answered. It does not count
+// overlaps with calls that HoldCalls had delayed.
 func (c *Counter) Overlaps() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -189,7 +189,7 @@
 	return n
 }
 
-// StartTimes returns when the runs of a job started, without those that were rejected.
+// StartTimes returns the start times of a job's runs, without those that were rejected.
 func (c *Counter) StartTimes(job string) (times []time.Duration) {
 	for _, call := range c.Calls() {
 		if call.Job == job && call.IsStart && !call.Rejected {
@@ -199,7 +199,7 @@
 	return times
 }
 
-// AllRanSince reports whether every one of the jobs has started a run after a time.
+// AllRanSince reports whether each of the jobs has started a run after a time.
 func (c *Counter) AllRanSince(jobs []string, at time.Duration) bool {
 	for _, job := range jobs {
 		times := c.StartTimes(job)
--- a/internal/testing/testcluster/events.go
+++ b/internal/testing/testcluster/events.go
@@ -53,13 +53,14 @@
 	return text.String()
 }
 
-// state returns what the process reports of its leases and links, as text.
+// state returns the process's status of leases and links as text.
 func (p *Process) state() string {
 	status, err := p.Status()
 	if err != nil {
 		return fmt.Sprintln("status:", err)
 	}
 	lease := &status.Lease
-	return fmt.Sprintf("%s follows %s in term %d, owns %v, counts %+v\n", lease.Role, lease.Leader, lease.Term, lease.Owned, lease.Counts) +
-		fmt.Sprintf("links %+v refused %+v\n", status.Bus.Links, status.Bus.Counts)
+	return fmt.Sprintf("role %s, leader %s, term %d, owned jobs %v, counts %+v\n", lease.Role, lease.Leader, lease.Term, lease.Owned,
+		lease.Counts) +
+		fmt.Sprintf("links %+v, link counts %+v\n", status.Bus.Links, status.Bus.Counts)
 }
--- a/internal/testing/testcluster/export_test.go
+++ b/internal/testing/testcluster/export_test.go
@@ -1,6 +1,6 @@
 package testcluster
 
-// This file exports to the external tests what only tests need.
+// This file exports the path of the program to the external tests of the package.
 
 import "testing"
 
--- a/internal/testing/testcluster/idle_test.go
+++ b/internal/testing/testcluster/idle_test.go
@@ -13,14 +13,14 @@
 // Bounds on the usage of an idle director.
 const (
 	maxIdleCores          = 0.1
-	maxIdleBytesPerSecond = 20000 // sent to other directors
+	maxIdleBytesPerSecond = 20000 // bytes sent to other directors
 )
 
 // idleUsage is the resource usage of a process since its start.
 type idleUsage struct {
 	cpu      time.Duration
-	resident int64 // bytes, now
-	sent     int64 // bytes, over links to other directors
+	resident int64 // bytes of resident memory now
+	sent     int64 // bytes sent over links to other directors
 }
 
 // readIdleUsage reads the usage of a process so far.
@@ -43,12 +43,13 @@
 	return usage
 }
 
-// Directors that share 1,000 idle jobs use little processor time and bandwidth, and so does a director without a cluster.
-func TestIdleDirectorsUseLittle(t *testing.T) {
+// Directors that share 1,000 idle jobs stay within the bounds on processor time and bandwidth, and so does a director without a
+// cluster.
+func TestIdleDirectorUsageWithinBounds(t *testing.T) {
 	const jobs = 1000
 	const span = 5 * time.Second // of the measurement
 	clustered := start(t, Options{Directors: 3, Seed: 41, ClusterConfig: idleJobsConfig(jobs)})
-	time.Sleep(5 * time.Second) // without queries of the status: with so many jobs they cost more than the jobs do
+	time.Sleep(5 * time.Second) // without status queries, which cost more than the jobs with so many jobs
 	if owned := len(clustered.Owners()); owned != jobs {
 		t.Fatalf("%d jobs are owned, want %d", owned, jobs)
 	}
@@ -65,7 +66,7 @@
 		after := readIdleUsage(t, p)
 		cores := (after.cpu - before[i].cpu).Seconds() / span.Seconds()
 		bytesPerSecond := float64(after.sent-before[i].sent) / span.Seconds()
-		t.Logf("%s, separate %v, leader %v: %.3f of a core, %.1f MB, %.0f bytes a second", p.Name, p.cluster == separate,
+		t.Logf("%s, without cluster %v, leader %v: %.3f of a core, %.1f MB, %.0f bytes a second", p.Name, p.cluster == separate,
 			p == clustered.Leader(), cores, float64(after.resident)/1e6, bytesPerSecond)
 		if cores > maxIdleCores {
 			t.Errorf("%s uses %.3f of a core, want at most %.3f", p.Name, cores, maxIdleCores)
--- a/internal/testing/testcluster/jobs_test.go
+++ b/internal/testing/testcluster/jobs_test.go
@@ -1,6 +1,6 @@
 package testcluster
 
-// This file tests that each periodic job is run by one director at a time.
+// This file tests that only one director at a time runs each periodic job.
 
 import (
 	"os/exec"
@@ -13,7 +13,7 @@
 	"indigochute.example/indigochute/internal/testing/faultproxy"
 )
 
-// Without faults each job runs once a period, whichever director owns it.
+// Without faults each job runs once a period.
 func TestJobRunsOncePerPeriod(t *testing.T) {
 	const periods = 12
 	const minInterval = 300 * time.Millisecond // between two starts of a job
@@ -35,37 +35,37 @@
 	c.checkRules(t)
 }
 
-// The owner of a job is paused during a run until its lease has expired, and resumed. It makes no more calls, and
-// the delayed call under its old fencing token is rejected and counted.
-func TestPausedOwnersCallIsRejected(t *testing.T) {
+// The owner of a job is paused during a run until its lease has expired, and then resumed. Its delayed call with the old fencing
+// token is rejected and counted. Directors that were not paused make no call with an old token.
+func TestDelayedCallOfPausedOwnerIsRejected(t *testing.T) {
 	c := startSettled(t, Options{Directors: 3, Seed: 13})
 	owner, job := c.jobOwner(t)
 	c.Counter.HoldCalls(owner)
-	owner.awaitStatus(t, "a run under way", maxTakeover, func(status *cluster.Status) bool {
+	owner.awaitStatus(t, "a run that waits for the counter", maxTakeover, func(status *cluster.Status) bool {
 		return status.Lease.Owned != nil && status.Failed+status.Hung > 0
 	})
 	owner.Pause()
 	pausedAt := c.Now()
-	c.await(t, "run elsewhere", maxTakeover, func() bool {
+	c.await(t, "a run of the job by another director", maxTakeover, func() bool {
 		return slices.ContainsFunc(c.Counter.Calls(), func(call Call) bool {
 			return call.Job == job && call.At > pausedAt && call.Sender != owner.Name
 		})
 	})
 	c.Counter.ReleaseCalls(owner)
-	c.await(t, "the old number comes and is refused", maxTakeover, func() bool { return c.countRejected(owner.Name) > 0 })
+	c.await(t, "the rejection of the call with the old fencing token", maxTakeover, func() bool { return c.countRejected(owner.Name) > 0 })
 	rejected := c.countRejected(owner.Name)
 	owner.Resume()
-	c.awaitRuns(t, "all run", maxTakeover)
+	c.awaitRuns(t, "runs of all jobs after the resume", maxTakeover)
 	for _, call := range c.Counter.Calls() {
 		if call.Rejected && call.At > pausedAt && call.Sender != owner.Name {
-			t.Errorf("%s called under an old token without being paused: %+v", call.Sender, call)
+			t.Errorf("%s was not paused but called with an old token: %+v", call.Sender, call)
 		}
 	}
-	t.Logf("%d calls under the old token were rejected, %d after it was resumed", rejected, c.countRejected(owner.Name)-rejected)
+	t.Logf("%d calls with the old token were rejected before the owner was resumed, %d after", rejected, c.countRejected(owner.Name)-rejected)
 	c.checkRules(t)
 }
 
-// Jobs are taken over although clocks run as far apart as the cluster configuration allows.
+// Jobs are taken over when the lease clocks differ by as much as the cluster configuration allows.
 func TestTakeoverWithMaximumClockDrift(t *testing.T) {
 	c := startSettled(t, Options{
 		Directors:     3,
@@ -79,25 +79,25 @@
 			t.Fatal("no leader")
 		}
 		c.Isolate(leader)
-		c.awaitRuns(t, "all run", maxTakeover)
+		c.awaitRuns(t, "runs of all jobs with the leader isolated", maxTakeover)
 		c.Network.Heal("n*")
 		c.awaitOneLeader(t)
 	}
 	c.checkRules(t)
 }
 
-// With two of three directors lost there is no quorum. Jobs stop, and the status says so. A cluster of a single
-// director owns all jobs.
+// With two of three directors lost there is no quorum. Jobs stop, and the status reports that there is no leader. The only
+// director of a cluster of one owns all jobs.
 func TestJobsStopWithoutQuorum(t *testing.T) {
 	c := startSettled(t, Options{Directors: 3, Seed: 17})
 	c.Processes[0].Kill()
 	c.Processes[1].Kill()
-	c.await(t, "the last one owns nothing", maxTakeover, func() bool { return len(c.Owners()) == 0 })
+	c.await(t, "no owned job", maxTakeover, func() bool { return len(c.Owners()) == 0 })
 	quorumLostAt := c.Now()
 	time.Sleep(1500 * time.Millisecond)
 	for _, call := range c.Counter.Calls() {
 		if call.At > quorumLostAt {
-			t.Errorf("call %+v with one of three directors alive, want none", call)
+			t.Errorf("got call %+v with one of three directors alive, want none", call)
 		}
 	}
 	out, err := exec.Command(program, "duties", "status", "--at", c.Processes[2].PeerAddress).CombinedOutput()
@@ -105,19 +105,19 @@
 		t.Errorf("duties status: %v, want no leader and two directors that do not answer:\n%s", err, out)
 	}
 	c.Processes[0].Start()
-	t.Log("one back:", c.awaitRuns(t, "all run", maxTakeover))
+	t.Log("all jobs run after one restart:", c.awaitRuns(t, "runs of all jobs with two of three directors", maxTakeover))
 	c.checkRules(t)
 
 	single := start(t, Options{Directors: 1, Seed: 18})
-	t.Log("alone:", single.awaitRuns(t, "all run", maxTakeover))
+	t.Log("all jobs run in a cluster of one:", single.awaitRuns(t, "runs of all jobs in a cluster of one", maxTakeover))
 	status, err := single.Processes[0].Status()
 	if err != nil || len(status.Lease.Owned) != len(countJobs) || status.Lease.Role != leaderRole {
 		t.Errorf("a single director reports %+v, %v, want the leader with %d jobs", status, err, len(countJobs))
 	}
 }
 
-// A job whose service hangs costs its owner neither its other jobs nor its leases.
-func TestHungJobLeavesOtherJobsRunning(t *testing.T) {
+// A job whose service hangs does not stop the other jobs of its owner, and none of the owner's leases expires.
+func TestHungJobDoesNotStopOtherJobs(t *testing.T) {
 	t.Parallel()
 	network := faultproxy.New(1, nil)
 	defer network.Close()
@@ -128,7 +128,7 @@
 	network.SetFault("hangs", faultproxy.Both, drop)
 	hung := "  - {name: hung, kind: call, address: " + link.Addr() + ", period: 400ms, timeout: 300ms}\n"
 	c := start(t, Options{Directors: 1, Seed: 20, ClusterConfig: countJobsConfig + hung})
-	c.awaitRuns(t, "all others run", maxTakeover)
+	c.awaitRuns(t, "runs of all other jobs", maxTakeover)
 	var token uint64
 	for range 5 {
 		time.Sleep(500 * time.Millisecond)
@@ -150,5 +150,5 @@
 			t.Errorf("job c0: %+v, want no error and the fencing token %d", otherResult, token)
 		}
 	}
-	c.awaitRuns(t, "all others run", 2*time.Second)
+	c.awaitRuns(t, "more runs of all other jobs", 2*time.Second)
 }
--- a/internal/testing/testcluster/overload_test.go
+++ b/internal/testing/testcluster/overload_test.go
@@ -1,6 +1,6 @@
 package testcluster_test
 
-// This file measures overload on real directors. The measurement runs only with -grid.
+// This file measures overload on real directors. The measurement runs only with the flag -grid.
 
 import (
 	"flag"
@@ -15,11 +15,11 @@
 )
 
 var (
-	grid    = flag.Bool("grid", false, "measure overload on 1, 5 and 20 real directors: minutes")
-	sizes   = flag.String("sizes", "1,5,20", "of the fleets in the grid")
-	loads   = flag.String("loads", "0.9,1.2,2,4", "of the grid, in what can be served")
-	which   = flag.String("cause", "", "of the grid: only those whose name holds this")
-	atATime = flag.Int("side", 4, "plays at a time")
+	grid         = flag.Bool("grid", false, "measure overload on 1, 5 and 20 real directors, which takes minutes")
+	fleetSizes   = flag.String("sizes", "1,5,20", "numbers of directors in the grid")
+	loadFactors  = flag.String("loads", "0.9,1.2,2,4", "loads in the grid, as multiples of the sustainable rate")
+	causeFilter  = flag.String("cause", "", "measure only causes whose name contains this text")
+	parallelRuns = flag.Int("side", 4, "runs at the same time")
 )
 
 // overloadRow is one row of the table in docs/overload.md.
@@ -33,15 +33,15 @@
 // TestOverloadGrid measures and prints the first table of docs/overload.md.
 func TestOverloadGrid(t *testing.T) {
 	if !*grid {
-		t.Skip("only with -grid")
+		t.Skip("needs the flag -grid")
 	}
 	sustainableRate, err := scenario.SustainableRate(1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	fmt.Printf("can be served: %.0f reqs a second\n", sustainableRate)
+	fmt.Printf("sustainable rate: %.0f requests a second\n", sustainableRate)
 	fmt.Println("| directors | cause | times | before | during | after | back | dispatches | again | denied | spread |")
-	slots := make(chan struct{}, *atATime)
+	slots := make(chan struct{}, *parallelRuns)
 	var runs sync.WaitGroup
 	defer runs.Wait()
 	for _, row := range overloadRows(t, sustainableRate) {
@@ -56,16 +56,16 @@
 // overloadRows returns the rows that the flags select.
 func overloadRows(t *testing.T, sustainableRate float64) (rows []overloadRow) {
 	t.Helper()
-	for _, size := range strings.Split(*sizes, ",") {
+	for _, size := range strings.Split(*fleetSizes, ",") {
 		directors, err := strconv.Atoi(size)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, cause := range scenario.Causes {
-			if !strings.Contains(cause.Name, *which) {
+			if !strings.Contains(cause.Name, *causeFilter) {
 				continue
 			}
-			for _, load := range strings.Split(*loads, ",") {
+			for _, load := range strings.Split(*loadFactors, ",") {
 				loadFactor, err := strconv.ParseFloat(load, 64)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/testing/testcluster/probing_test.go
+++ b/internal/testing/testcluster/probing_test.go
@@ -1,6 +1,6 @@
 package testcluster
 
-// This file tests how often many directors check the health of a hung cache, and how many requests the checks spare.
+// This file tests how many health checks and requests a hung cache receives from several directors.
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 )
 
 var (
-	directors = flag.Int("directors", 5, "that probe, each for itself and one for all")
-	rate      = flag.Float64("rate", 150, "reqs a second that all of them get while they do")
+	directors = flag.Int("directors", 5, "directors in each cluster of the health check test")
+	rate      = flag.Float64("rate", 150, "requests a second in the health check test, to all directors together")
 )
 
 // Phases of the load while one cache hangs.
@@ -29,7 +29,7 @@
 const (
 	recoveryPoll = 500 * time.Millisecond
 	maxRecovery  = afterHang - time.Second
-	maxCheckRate = 3 // health checks a second of one hung cache
+	maxCheckRate = 3 // health checks a second that one hung cache receives
 )
 
 // hangResult is the outcome of a run in which one cache hangs.
@@ -37,11 +37,11 @@
 	checksPerSecond float64       // health checks that reach the hung cache, from all directors
 	requests        int           // requests forwarded to the hung cache
 	missed          int           // requests that missed their latency objective, over the complete run
-	recovery        time.Duration // from the end of the hang until the cache gets half as many requests as its peers; 0: never
+	recovery        time.Duration // from the end of the hang until the cache gets half as many requests as its peers; 0 means never
 }
 
-// hangOneCache runs a load during which one cache accepts everything and answers nothing for hangLength.
-func hangOneCache(t *testing.T, options Options) (measured hangResult) {
+// hangOneCache runs a load during which one cache accepts requests but answers nothing for hangLength.
+func hangOneCache(t *testing.T, options Options) (outcome hangResult) {
 	t.Helper()
 	c := start(t, options)
 	requests, err := emulator.GenerateRequests(c.topology, *rate, beforeHang+hangLength+afterHang, 5)
@@ -62,19 +62,19 @@
 		requestsBefore, checksBefore := c.Emulator.Received(hung.ID)
 		time.Sleep(hangLength)
 		requestsAfter, checksAfter := c.Emulator.Received(hung.ID)
-		measured.checksPerSecond = float64(checksAfter-checksBefore) / hangLength.Seconds()
-		measured.requests = requestsAfter - requestsBefore
+		outcome.checksPerSecond = float64(checksAfter-checksBefore) / hangLength.Seconds()
+		outcome.requests = requestsAfter - requestsBefore
 		c.Network.Heal(link)
-		c.Network.Reset(link) // as when a hung process ends
-		measured.recovery = awaitRecovery(c, hung, caches)
+		c.Network.Reset(link) // as if the hung process had ended
+		outcome.recovery = awaitRecovery(c, hung, caches)
 	})
 	tally := result.Tally(-1)
-	measured.missed = tally.Requests - tally.Met
+	outcome.missed = tally.Requests - tally.Met
 	for _, violation := range c.Emulator.Violations() {
 		t.Error(violation)
 	}
 	c.Close()
-	return measured
+	return outcome
 }
 
 // awaitRecovery returns how long it takes until a cache gets half as many requests as its peers do on average, or 0 if that
@@ -84,16 +84,16 @@
 	for time.Since(healed) < maxRecovery {
 		before := receivedRequests(c, caches)
 		time.Sleep(recoveryPoll)
-		own, others := 0, 0
+		ownRequests, peerRequests := 0, 0
 		for id, received := range receivedRequests(c, caches) {
 			if id == hung.ID {
-				own = received - before[id]
+				ownRequests = received - before[id]
 			} else {
-				others += received - before[id]
+				peerRequests += received - before[id]
 			}
 		}
 		peers := len(caches) - 1
-		if own > 0 && 2*own*peers >= others {
+		if ownRequests > 0 && 2*ownRequests*peers >= peerRequests {
 			return time.Since(healed)
 		}
 	}
@@ -109,19 +109,19 @@
 	return received
 }
 
-// If one director checks the health of caches for all others, a hung cache receives few health checks whatever the number of
-// directors, and no more requests than without health checks.
-func TestSharedHealthChecksSpareRequests(t *testing.T) {
+// If one director checks the health of caches for all others, a hung cache receives few health checks even from many directors,
+// and no more requests than without health checks.
+func TestSharedHealthChecksLimitRequestsToHungCache(t *testing.T) {
 	const probe = "duties:\n  - {name: probe, kind: probe, period: 500ms, timeout: 450ms}\nprobe: {within: 200ms}\n"
 	results := map[string]hangResult{}
 	var mu sync.Mutex // guards results
-	ways := map[string]Options{
-		"none":            {NoClusterConfig: true},
-		"each for itself": {ClusterConfig: probe, SingleMember: true},
-		"one for all":     {ClusterConfig: probe},
+	configurations := map[string]Options{
+		"none":             {NoClusterConfig: true},
+		"by each director": {ClusterConfig: probe, SingleMember: true},
+		"by one director":  {ClusterConfig: probe},
 	}
-	t.Run("ways", func(t *testing.T) {
-		for name, options := range ways {
+	t.Run("configurations", func(t *testing.T) {
+		for name, options := range configurations {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				options.Directors, options.Seed = *directors, 31
@@ -133,7 +133,7 @@
 			})
 		}
 	})
-	shared, none := results["one for all"], results["none"]
+	shared, none := results["by one director"], results["none"]
 	if shared.checksPerSecond == 0 || shared.checksPerSecond > maxCheckRate {
 		t.Errorf("the hung cache received %.1f health checks a second, want some and at most %d", shared.checksPerSecond, maxCheckRate)
 	}
--- a/internal/testing/testcluster/process.go
+++ b/internal/testing/testcluster/process.go
@@ -1,6 +1,6 @@
 package testcluster
 
-// This file starts one process of a cluster, sends it signals, and keeps its log.
+// This file starts a process of a cluster, sends it signals, and records its log.
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"indigochute.example/indigochute/internal/cluster"
 )
 
-// maxLogBytes is how much of each process's log is kept.
+// maxLogBytes is the maximum size of the recorded log of each process.
 const maxLogBytes = 4 << 20
 
 // Process is one process of a cluster, a director or a control machine. It may be started and ended many times.
@@ -28,17 +28,17 @@
 	cluster       *Cluster
 	index         int    // among all processes
 	directorIndex int    // among those that serve clients
-	reportEnded   func() // tells the emulator that this director has ended; nil if it serves no clients
+	reportEnded   func() // reports the end of this director to the emulator; nil if it serves no clients
 
 	mu         sync.Mutex    // guards the fields below
 	command    *exec.Cmd     // nil while the process does not run
-	exited     chan struct{} // closed when the last incarnation has ended
+	exited     chan struct{} // closed when the latest incarnation has ended
 	log        bytes.Buffer  // of all incarnations
 	paused     bool
-	exitErrors []error // of each incarnation that ended
+	exitErrors []error // of each ended incarnation; nil for an exit code of 0
 }
 
-// Start starts the process, which keeps no state of an earlier incarnation. The process must not be running.
+// Start starts the process, without any state of an earlier incarnation. The process must not be running.
 func (p *Process) Start() error {
 	config, err := p.writeConfig()
 	if err != nil {
@@ -51,7 +51,7 @@
 	command := exec.Command(p.cluster.options.Program, args...)
 	command.Env = append(os.Environ(), "ROUTER_CONFIG="+config)
 	command.Stderr = logWriter{p}
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends it even if the calling process is killed
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // also ends the process if the calling process is killed
 	if err := command.Start(); err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// awaitExit waits for an incarnation to end and records how it ended. Kill and Shutdown wait for exited, which it closes.
+// awaitExit waits until an incarnation ends and records how it ended. Then it closes exited, for which Kill and Shutdown wait.
 func (p *Process) awaitExit(command *exec.Cmd, exited chan<- struct{}) {
 	err := command.Wait()
 	p.mu.Lock()
@@ -76,7 +76,7 @@
 }
 
 // errNotRunning returns the error of a signal or a query to a process that does not run.
-func (p *Process) errNotRunning() error { return fmt.Errorf("rig: %s does not run", p.Name) }
+func (p *Process) errNotRunning() error { return fmt.Errorf("testcluster: %s is not running", p.Name) }
 
 // signal sends a signal to the process and records an event with the given message.
 func (p *Process) signal(signal syscall.Signal, message string) error {
@@ -124,14 +124,14 @@
 	p.mu.Lock()
 	exited := p.exited
 	p.mu.Unlock()
-	if err := p.signal(syscall.SIGTERM, "told to leave"); err != nil {
+	if err := p.signal(syscall.SIGTERM, "shutting down"); err != nil {
 		return err
 	}
 	select {
 	case <-exited:
 		return nil
 	case <-time.After(within):
-		return fmt.Errorf("rig: %s did not leave within %v", p.Name, within)
+		return fmt.Errorf("testcluster: %s did not shut down within %v", p.Name, within)
 	}
 }
 
@@ -141,7 +141,7 @@
 	return p.Start()
 }
 
-// ExitErrors returns how each incarnation ended so far, nil for an exit code of 0.
+// ExitErrors returns the exit error of each incarnation that has ended, nil for an exit code of 0.
 func (p *Process) ExitErrors() []error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,7 +151,7 @@
 // Status queries the process directly, without the fault proxy.
 func (p *Process) Status() (*cluster.Status, error) { return cluster.QueryInstance(p.PeerAddress) }
 
-// Log returns what the process has logged so far in all its incarnations. Lines after maxLogBytes are lost.
+// Log returns the log of all incarnations of the process so far. Lines after maxLogBytes are not recorded.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -161,7 +161,7 @@
 // logWriter is an io.Writer that appends to the log of a process.
 type logWriter struct{ process *Process }
 
-// Write appends text to the log, unless maxLogBytes are reached. It never fails.
+// Write appends text to the log unless the log has reached maxLogBytes. It never fails.
 func (w logWriter) Write(text []byte) (int, error) {
 	w.process.mu.Lock()
 	defer w.process.mu.Unlock()
--- a/internal/testing/testcluster/state.go
+++ b/internal/testing/testcluster/state.go
@@ -1,6 +1,6 @@
 package testcluster
 
-// This file queries which processes lead and own jobs, waits for conditions, and isolates processes.
+// This file finds the leader and the owners of jobs, waits for conditions, and isolates processes.
 
 import (
 	"errors"
@@ -18,21 +18,21 @@
 // leaderRole is the role of the leader in a process's status.
 const leaderRole = "keeper"
 
-// ErrTimeout means that a condition did not hold in time.
-var ErrTimeout = errors.New("rig: not in time")
+// ErrTimeout is wrapped by the error of Await for a condition that did not hold in time.
+var ErrTimeout = errors.New("testcluster: timed out")
 
 // Await waits until a condition holds and returns how long that took. If it does not hold within the given time, the error
 // wraps ErrTimeout and names the condition. The caller's goroutine checks the condition.
 func (c *Cluster) Await(condition string, within time.Duration, holds func() bool) (time.Duration, error) {
 	took, ok := poll.Until(within, pollPeriod, holds)
 	if !ok {
-		return took, fmt.Errorf("%w: %s, within %v", ErrTimeout, condition, within)
+		return took, fmt.Errorf("%w waiting for %q after %v", ErrTimeout, condition, within)
 	}
 	return took, nil
 }
 
-// Owners returns the names of the processes that own each job, as the running processes report it themselves. Processes that
-// do not answer are left out. A job with two names is claimed by both processes.
+// Owners returns the names of the processes that own each job, by job. It queries each running process and skips those that do
+// not answer. A job has several owners if several processes report that they own it.
 func (c *Cluster) Owners() map[string][]string {
 	owners := map[string][]string{}
 	var mu sync.Mutex // guards owners
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Isolate drops everything between a process and the others until their links are healed. It works only in clusters without
+// Isolate drops all traffic between a process and the others until their links are healed. It works only in clusters without
 // ProcessSpecs, whose processes are named n0, n1 and so on.
 func (c *Cluster) Isolate(p *Process) {
 	c.Network.SetFault(p.Name+">n*", faultproxy.Both, faultproxy.Fault{Drop: true})
--- a/internal/testing/testcluster/topology.go
+++ b/internal/testing/testcluster/topology.go
@@ -9,7 +9,7 @@
 	Name     string
 	ZoneLink string // bandwidth of the zone's link, such as 4MB/s
 	Caches   int
-	Tail     string // YAML of the parents, the origin, the virtual hosts and all else; percent signs in it are doubled
+	Tail     string // YAML of the parents, the origin, the virtual hosts and the remaining sections; percent signs in it are doubled
 }
 
 // YAML returns the text of the topology. topology.Parse reads it once fmt.Sprintf has replaced its only %d by the number of
--- a/internal/testing/testcluster/usage.go
+++ b/internal/testing/testcluster/usage.go
@@ -43,7 +43,7 @@
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= statResident {
-		return 0, 0, fmt.Errorf("rig: /proc/%d/stat: %d fields after the name", pid, len(fields))
+		return 0, 0, fmt.Errorf("testcluster: /proc/%d/stat: too few fields after the name: %d", pid, len(fields))
 	}
 	var userTicks, systemTicks, residentPages int64
 	for _, field := range []struct {
@@ -55,7 +55,7 @@
 		{statResident, &residentPages},
 	} {
 		if *field.value, err = strconv.ParseInt(fields[field.index], 10, 64); err != nil {
-			return 0, 0, fmt.Errorf("rig: /proc/%d/stat: %w", pid, err)
+			return 0, 0, fmt.Errorf("testcluster: /proc/%d/stat: %w", pid, err)
 		}
 	}
 	return time.Duration(userTicks+systemTicks) * clockTick, residentPages * int64(os.Getpagesize()), nil
