--- a/internal/testing/mixed/director_test.go
+++ b/internal/testing/mixed/director_test.go
@@ -24,36 +24,36 @@
 	"indigochute.example/indigochute/internal/testing/faultnet"
 )
 
-// The director runs in a process of its own, so that it can be paused without what measures it. The process is another run of
-// the test binary. It serves on a faultnet.Network. It writes reports to its standard output, one a line: a word for the kind
-// of report, a space and the text.
+// The director runs in a process of its own, so that the test can pause it and go on measuring. The process is another run of
+// the test binary. Its network is a faultnet.Network. It writes reports to its standard output, one a line: the kind of the
+// report, a space and the text.
 const (
-	reportFault  = "fault"   // UNIX_NANOSECOND, place, kind, the other side's address, with tabs between: a fault is injected
+	reportFault  = "fault"   // UNIX_NANOSECOND, place, kind and the peer's address, separated by tabs: a fault is injected
 	reportDelay  = "delayed" // FROM TO CLIENT, Unix nanoseconds: a fault delayed a write to a client
-	reportSlow   = "slow"    // FROM TO, Unix nanoseconds: a log line took long, while its writer may have held a lock
-	reportStall  = "stalled" // FROM TO, Unix nanoseconds: nothing ran in this process
-	reportCounts = "counts"  // JSON, at its end: how many faults were injected
+	reportSlow   = "slow"    // FROM TO, Unix nanoseconds: the write of a log line was slow, possibly under a lock
+	reportStall  = "stalled" // FROM TO, Unix nanoseconds: this process did not run
+	reportCounts = "counts"  // JSON, written at the end of the process: how many faults were injected
 )
 
 const (
-	seedVariable  = "MIXED_DIRECTOR_SEED"  // environment variable; if set, this process is the director
-	spanVariable  = "MIXED_FAULTS_MS"      // environment variable: for how many milliseconds faults are injected
-	leastStall    = 20 * time.Millisecond  // shortest stall that is reported
-	stallInterval = 5 * time.Millisecond   // between two checks for a stall
-	slowLineRate  = 0.1                    // rate of log lines that take long to be written
-	slowLineMost  = 120 * time.Millisecond // longest time that such a line takes
-	longestLate   = 350 * time.Millisecond // longest time that a late connection takes to come up
-	longestBlock  = 250 * time.Millisecond // longest time for which a connection takes no bytes
-	longestPause  = 30 * time.Millisecond  // longest pause between the pieces of a short write
-	directorCores = 2
+	seedVariable      = "MIXED_DIRECTOR_SEED"  // environment variable with the seed; if it is set, this process runs the director
+	faultTimeVariable = "MIXED_FAULTS_MS"      // environment variable with the time in milliseconds during which faults are injected
+	minStall          = 20 * time.Millisecond  // shortest stall that is reported
+	stallInterval     = 5 * time.Millisecond   // between two checks for a stall
+	slowLineRate      = 0.1                    // fraction of log lines whose write is slow
+	maxSlowLine       = 120 * time.Millisecond // longest write of a slow line
+	maxDialDelay      = 350 * time.Millisecond // longest delay of a late dial
+	maxWriteBlock     = 250 * time.Millisecond // longest time for which a write is blocked
+	maxWritePause     = 30 * time.Millisecond  // longest pause between the pieces of a short write
+	directorCores     = 2
 
 	listenerDescriptor = 3 // descriptor of the director's listener, the first of exec.Cmd.ExtraFiles
 )
 
-// TestMain runs the tests, or the director if this process was started as one.
+// TestMain runs the tests, or the director if seedVariable is set.
 func TestMain(m *testing.M) {
 	if seed := os.Getenv(seedVariable); seed != "" {
-		if err := serve(seed, os.Getenv(spanVariable)); err != nil {
+		if err := serve(seed, os.Getenv(faultTimeVariable)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -62,39 +62,39 @@
 	os.Exit(m.Run())
 }
 
-// plan returns the plan of the faults of the director's system calls, which are injected for the given time.
-func plan(span time.Duration) faultnet.Plan {
-	each := func(at faultnet.Place, rate float64, others faultnet.Rates) faultnet.Rates {
+// plan returns the plan of faults of the director's system calls. Faults are injected for the given time.
+func plan(faultTime time.Duration) faultnet.Plan {
+	uniformExcept := func(at faultnet.Place, rate float64, exceptions faultnet.Rates) faultnet.Rates {
 		rates := faultnet.Rates{}
 		for _, kind := range faultnet.Kinds(at) {
 			rates[kind] = rate
 		}
-		for kind, rate := range others {
+		for kind, rate := range exceptions {
 			rates[kind] = rate
 		}
 		return rates
 	}
 	return faultnet.Plan{
-		Dial:   each(faultnet.AtDial, 0.02, faultnet.Rates{faultnet.Late: 0.1}),
-		Accept: each(faultnet.AtAccept, 0.03, nil),
-		Dialed: each(faultnet.OnDialed, 0.001,
+		Dial:   uniformExcept(faultnet.AtDial, 0.02, faultnet.Rates{faultnet.Late: 0.1}),
+		Accept: uniformExcept(faultnet.AtAccept, 0.03, nil),
+		Dialed: uniformExcept(faultnet.OnDialed, 0.001,
 			faultnet.Rates{faultnet.ShortRead: 0.1, faultnet.ShortWrite: 0.05, faultnet.BlockedWrite: 0.02}),
-		Accepted: each(faultnet.OnAccepted, 0.0003,
+		Accepted: uniformExcept(faultnet.OnAccepted, 0.0003,
 			faultnet.Rates{faultnet.ShortWrite: 0.05, faultnet.BlockedWrite: 0.002, faultnet.ShortRead: 0}),
-		Windows:      []faultnet.Window{{Until: span}},
-		LongestLate:  longestLate,
-		LongestBlock: longestBlock,
-		LongestPause: longestPause,
+		Windows:      []faultnet.Window{{Until: faultTime}},
+		LongestLate:  maxDialDelay,
+		LongestBlock: maxWriteBlock,
+		LongestPause: maxWritePause,
 	}
 }
 
 // serve runs the director until SIGTERM.
-func serve(seedText, spanText string) error {
+func serve(seedText, faultTimeText string) error {
 	seed, err := strconv.ParseUint(seedText, 10, 64)
 	if err != nil {
 		return err
 	}
-	span, err := strconv.Atoi(spanText)
+	faultMilliseconds, err := strconv.Atoi(faultTimeText)
 	if err != nil {
 		return err
 	}
@@ -104,8 +104,8 @@
 	}
 	director.Limit(conf)
 	log := logrus.New()
-	log.SetOutput(&slowWriter{to: os.Stderr, chance: rand.New(rand.NewPCG(seed, 2))})
-	faults := plan(time.Duration(span) * time.Millisecond)
+	log.SetOutput(&slowWriter{output: os.Stderr, random: rand.New(rand.NewPCG(seed, 2))})
+	faults := plan(time.Duration(faultMilliseconds) * time.Millisecond)
 	faults.Injected = func(f faultnet.Fault) { report(reportFault, timedFault{f, time.Now()}.line()) }
 	faults.Delayed = func(d faultnet.Delay) {
 		if d.Place == faultnet.OnAccepted {
@@ -122,9 +122,9 @@
 	d.UseNetwork(network)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 	defer cancel()
-	again := make(chan os.Signal, 1)
-	signal.Notify(again, syscall.SIGHUP)
-	if err := d.Run(ctx, again, config.FromEnv); err != nil {
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	if err := d.Run(ctx, reload, config.FromEnv); err != nil {
 		return err
 	}
 	counts, err := json.Marshal(network.Counts())
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// inheritingNetwork is a faulty network on which the director listens on a socket that its parent process opened. If the parent
-// only named a port, another process could take it before the director listens.
+// inheritingNetwork is a network with faults whose listener was opened by the parent process. If the parent passed only a port
+// number, another process could take the port before the director listens.
 type inheritingNetwork struct {
 	*faultnet.Network
 	listener *net.TCPListener
@@ -150,7 +150,7 @@
 // inheritedListener returns the listener that this process was started with.
 func inheritedListener() (*net.TCPListener, error) {
 	file := os.NewFile(listenerDescriptor, "listener")
-	defer file.Close() // the listener has its own
+	defer file.Close() // the listener has its own descriptor
 	listener, err := net.FileListener(file)
 	if err != nil {
 		return nil, err
@@ -158,32 +158,32 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// report writes one line for the parent process.
+// report writes a report to the parent process.
 func report(kind, text string) { fmt.Printf("%s %s\n", kind, text) }
 
-// reportStalls reports each span in which this process had no core, because it was paused or the machine was busy.
+// reportStalls reports each interval in which this process did not run, because it was paused or the machine was busy.
 func reportStalls() {
 	for {
 		before := time.Now()
 		time.Sleep(stallInterval)
-		if now := time.Now(); now.Sub(before) > stallInterval+leastStall {
+		if now := time.Now(); now.Sub(before) > stallInterval+minStall {
 			report(reportStall, fmt.Sprint(before.UnixNano(), now.UnixNano()))
 		}
 	}
 }
 
 // parseDelay parses the text of a reportDelay.
-func parseDelay(text string) (s span, client string, err error) {
+func parseDelay(text string) (s interval, client string, err error) {
 	var from, to int64
 	_, err = fmt.Sscan(text, &from, &to, &client)
-	return span{time.Unix(0, from), time.Unix(0, to)}, client, err
+	return interval{time.Unix(0, from), time.Unix(0, to)}, client, err
 }
 
 // parseStall parses the text of a reportStall or a reportSlow.
-func parseStall(text string) (s span, err error) {
+func parseStall(text string) (s interval, err error) {
 	var from, to int64
 	_, err = fmt.Sscan(text, &from, &to)
-	return span{time.Unix(0, from), time.Unix(0, to)}, err
+	return interval{time.Unix(0, from), time.Unix(0, to)}, err
 }
 
 // timedFault is a fault with the time at which it was injected.
@@ -204,7 +204,7 @@
 func parseFault(line string) (f timedFault, err error) {
 	fields := strings.Split(line, "\t")
 	if len(fields) != faultFields {
-		return f, errors.New("not the fields of a fault")
+		return f, errors.New("invalid number of fields of a fault")
 	}
 	ns, err := strconv.ParseInt(fields[0], 10, 64)
 	f.Fault = faultnet.Fault{Place: faultnet.Place(fields[1]), Kind: faultnet.Kind(fields[2]), Remote: fields[3]}
@@ -212,8 +212,8 @@
 	return f, err
 }
 
-// breaks returns whether the fault ended a client's connection.
-func (f timedFault) breaks() bool {
+// breaksClientConnection reports whether the fault broke a client's connection.
+func (f timedFault) breaksClientConnection() bool {
 	switch f.Kind {
 	case faultnet.TimedOut, faultnet.HostUnreachable, faultnet.Reset:
 		return f.Place == faultnet.OnAccepted
@@ -221,22 +221,22 @@
 	return false
 }
 
-// slowWriter is a log output that takes long to write some lines. Lines are often written under a lock, which is then held for
-// long.
+// slowWriter is a log output that writes some lines slowly. Lines are often written under a lock, which a slow write holds for a
+// long time.
 type slowWriter struct {
-	to io.Writer
+	output io.Writer
 
 	mu     sync.Mutex
-	chance *rand.Rand
+	random *rand.Rand
 }
 
 func (w *slowWriter) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.chance.Float64() < slowLineRate {
+	if w.random.Float64() < slowLineRate {
 		from := time.Now()
-		time.Sleep(time.Duration(w.chance.Float64() * float64(slowLineMost)))
+		time.Sleep(time.Duration(w.random.Float64() * float64(maxSlowLine)))
 		report(reportSlow, fmt.Sprint(from.UnixNano(), time.Now().UnixNano()))
 	}
-	return w.to.Write(line)
+	return w.output.Write(line)
 }
--- a/internal/testing/mixed/discovery_test.go
+++ b/internal/testing/mixed/discovery_test.go
@@ -9,21 +9,21 @@
 	"indigochute.example/indigochute/internal/discovery"
 )
 
-// discoveryService is a test journal service.
+// discoveryService is a discovery service for the test.
 type discoveryService struct {
 	mu     sync.Mutex
-	events []discovery.Event // the first has the number firstEvent + 1
-	silent bool              // it accepts connections and sends nothing
-	closed chan struct{}
+	events []discovery.Event // the first event has the number firstEvent + 1
+	silent bool              // whether it accepts connections but sends nothing
+	closed chan struct{}     // closed when the service must end
 }
 
 const (
-	firstEvent     = 1                     // number of the event in the configuration
+	firstEvent     = 1                     // number of the event that the configuration contains
 	sendInterval   = 25 * time.Millisecond // between two rounds of sending
 	heartbeatEvery = 20                    // rounds from one heartbeat to the next
 )
 
-// publish numbers an event and adds it to those that are sent.
+// publish numbers an event and adds it to the events that are sent.
 func (s *discoveryService) publish(e discovery.Event) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,14 +31,14 @@
 	s.events = append(s.events, e)
 }
 
-// setSilent makes the service send nothing, or send again.
+// setSilent stops or resumes all sending.
 func (s *discoveryService) setSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
 }
 
-// listen serves watches at a new address.
+// listen serves connections of the director at a new address.
 func (s *discoveryService) listen() (net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -56,7 +56,7 @@
 	return listener, nil
 }
 
-// serve sends a watch all events after the one that it names, until the service is closed.
+// serve reads the number of the last event that the director has, and sends all later events until the service is closed.
 func (s *discoveryService) serve(conn net.Conn) {
 	defer conn.Close()
 	var hello [8]byte
@@ -82,7 +82,7 @@
 }
 
 // framesAfter encodes the events after a number, or a heartbeat if there are none and a heartbeat is due. It returns the number
-// of the last event that was encoded so far.
+// of the last event encoded so far.
 func (s *discoveryService) framesAfter(number uint64, heartbeatDue bool) (frames []byte, last uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/mixed/judge_test.go
+++ b/internal/testing/mixed/judge_test.go
@@ -9,192 +9,200 @@
 	"indigochute.example/indigochute/internal/testing/faultnet"
 )
 
-// The bounds that the terms set, and the slack for measuring them from outside.
+// The bounds of the rules for the director, and the allowances for measuring them from another process.
 const (
-	answerSlack    = 500 * time.Millisecond // longest time from a deadline to the final answer
-	departureSlack = 100 * time.Millisecond // longest time from a client's leaving to the beginning of an attempt
-	timeoutSlack   = 150 * time.Millisecond // by how much the deadline passed on may exceed the time that the client has left
-	measureSlack   = 50 * time.Millisecond  // on departures, for the way from one process to the other
-	ownSlack       = 50 * time.Millisecond  // for an answer, out of the time in which the trial itself does not delay the director
+	maxAnswerDelay   = 500 * time.Millisecond // longest time from a deadline to the final answer
+	maxAttemptDelay  = 100 * time.Millisecond // longest time from a client's cancel or disconnect to the beginning of an attempt
+	maxTimeoutExcess = 150 * time.Millisecond // by how much the timeout of an attempt may exceed the time until the client's deadline
+	measurementSlack = 50 * time.Millisecond  // added to maxAttemptDelay for the transfer between processes
+	maxUndisturbed   = 50 * time.Millisecond  // a late answer is allowed if the trial left the director at most this time after the deadline
 )
 
 const (
-	messageTimeout = 2 * time.Second        // for which a director waits for a message that has begun, and for the first one
-	calmTimeout    = 200 * time.Millisecond // requests with a longer timeout are expected to be served once faults are over
-	faultVicinity  = 500 * time.Millisecond // before a finding: faults injected in this time are listed with it
-	endVicinity    = time.Second            // after a connection's end: a fault in this time may still have ended it
-	maxExamples    = 40                     // listed for each finding
+	messageTimeout  = 2 * time.Second        // how long a director waits for the first message, and for the rest of a message
+	minQuietTimeout = 200 * time.Millisecond // requests with a longer timeout should be served once faults are over
+	faultVicinity   = 500 * time.Millisecond // faults that were injected within this time before a violation are listed with it
+	endVicinity     = time.Second            // a fault within this time after the end of a connection may have ended it
+	maxExamples     = 40                     // listed for each rule
 )
 
-// finding collects the breaches of one rule.
-type finding struct {
-	what     string
-	all      int           // number of breaches
-	proved   int           // of these, the ones that the machine's lateness does not explain
-	worst    time.Duration // the largest of the proved ones
-	examples []string      // descriptions of proved ones
+// ruleResult collects the violations of one rule.
+type ruleResult struct {
+	rule        string
+	violations  int           // all violations, including those that the lateness of the machine explains
+	unexplained int           // violations that the lateness of the machine does not explain
+	worstExcess time.Duration // largest excess of an unexplained violation
+	examples    []string      // descriptions of unexplained violations
 }
 
-// add records a breach if over, the amount by which a bound and all slack were exceeded, is positive. It is proved if over is
-// also more than the lateness of the machine that measured it.
-func (f *finding) add(over, lateness time.Duration, format string, args ...any) {
-	if over <= 0 {
+// add records a violation if excess is positive, which is the time by which the bound and all allowances were exceeded. The
+// violation is unexplained if excess is greater than the lateness of the machine.
+func (r *ruleResult) add(excess, lateness time.Duration, format string, args ...any) {
+	if excess <= 0 {
 		return
 	}
-	f.all++
-	if over <= lateness {
+	r.violations++
+	if excess <= lateness {
 		return
 	}
-	f.proved++
-	f.worst = max(f.worst, over)
-	if len(f.examples) < maxExamples {
-		f.examples = append(f.examples, fmt.Sprintf(format, args...))
+	r.unexplained++
+	r.worstExcess = max(r.worstExcess, excess)
+	if len(r.examples) < maxExamples {
+		r.examples = append(r.examples, fmt.Sprintf(format, args...))
 	}
 }
 
-// report logs the finding, and fails the test if a breach is proved.
-func (f *finding) report(t *trial) {
-	t.Logf("%s: %d, not explained by the machine's lateness %d, by %v at most", f.what, f.all, f.proved, rounded(f.worst))
-	if f.proved > 0 {
-		t.Errorf("%s: %d:\n%s", f.what, f.proved, strings.Join(f.examples, "\n"))
+// report logs the violations, and fails the test if any is unexplained.
+func (r *ruleResult) report(t *trial) {
+	t.Logf("%s: %d, of which the lateness of the machine does not explain %d, largest excess %v", r.rule, r.violations, r.unexplained,
+		rounded(r.worstExcess))
+	if r.unexplained > 0 {
+		t.Errorf("%s: %d:\n%s", r.rule, r.unexplained, strings.Join(r.examples, "\n"))
 	}
 }
 
 func rounded(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// verdict is the result of judging all requests and attempts of a trial.
-type verdict struct {
+// recordChecker checks the requests and attempts of a trial, and counts the results.
+type recordChecker struct {
 	*trial
-	calmFrom time.Time // requests sent after this time are expected to be served
+	quietFrom time.Time // requests sent after this time should be served
 
-	unanswered, answeredTwice, late, departed, timeouts, repeated, unknown finding
+	unanswered, duplicateAnswers, lateAnswers, attemptsAfterDeparture, excessTimeouts, unsafeRepeats, unknownAttempts ruleResult
 
-	stayed, left, severed, served, pastDeadline, excused, calm, calmServed int
-	latestDeparture                                                        time.Duration // of an attempt, after its client left
-	worstTimeout                                                           time.Duration // passed on, over what the client had left
+	// Numbers of requests.
+	awaited, abandoned, brokenByFaults, served, pastDeadline, delayedByTrial, sentInQuiet, servedInQuiet int
+
+	longestAttemptDelay  time.Duration // from a client's cancel or disconnect to the beginning of an attempt
+	largestTimeoutExcess time.Duration // of an attempt's timeout over the time until the client's deadline
 }
 
-// judge compares the trial's records with the terms.
-func (t *trial) judge() {
+// checkRecords checks the trial's records against the rules for the director.
+func (t *trial) checkRecords() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := &verdict{
-		trial:         t,
-		calmFrom:      t.begun.Add(t.span - quietSpan + settleSpan),
-		unanswered:    finding{what: "requests without an answer"},
-		answeredTwice: finding{what: "requests with two answers"},
-		late:          finding{what: "answers over 0.5 s past their time"},
-		departed:      finding{what: "attempts begun over 0.1 s after their client left"},
-		timeouts:      finding{what: "deadlines passed on over what the client had left"},
-		repeated:      finding{what: "requests that may not be repeated sent again"},
-		unknown:       finding{what: "attempts of no request"},
-		worstTimeout:  -time.Hour,
+	c := &recordChecker{
+		trial:                  t,
+		quietFrom:              t.loadStart.Add(t.loadTime - quietTime + settleTime),
+		unanswered:             ruleResult{rule: "requests without an answer"},
+		duplicateAnswers:       ruleResult{rule: "requests with several answers"},
+		lateAnswers:            ruleResult{rule: "answers more than 0.5 s after the deadline"},
+		attemptsAfterDeparture: ruleResult{rule: "attempts begun more than 0.1 s after the client cancelled or disconnected"},
+		excessTimeouts:         ruleResult{rule: "attempts with a timeout beyond the client's deadline"},
+		unsafeRepeats:          ruleResult{rule: "non-idempotent requests sent again after a possible execution"},
+		unknownAttempts:        ruleResult{rule: "attempts of an unknown request"},
+		largestTimeoutExcess:   -time.Hour,
 	}
 	for id, r := range t.requests {
-		v.judgeRequest(id, r)
+		c.checkRequest(id, r)
 	}
 	for _, a := range t.attempts {
-		v.judgeAttempt(&a)
+		c.checkAttempt(&a)
 	}
-	v.report()
+	c.report()
 	t.checkCoverage()
 }
 
-// judgeRequest judges a request by what became of it. If a fault severed its connection, its client counts as gone from then
+// checkRequest checks the answers to a request. If a fault broke its connection, the request counts as abandoned from that time
 // on.
-func (v *verdict) judgeRequest(id string, r *request) {
-	name := fmt.Sprintf("%s (%s, %v, at %v)", id, classes[r.class].name, r.timeout, rounded(r.sentAt.Sub(v.begun)))
+func (c *recordChecker) checkRequest(id string, r *request) {
+	name := fmt.Sprintf("%s (%s, %v, at %v)", id, classes[r.class].name, r.timeout, rounded(r.sentAt.Sub(c.loadStart)))
 	if r.answers > 1 {
-		v.answeredTwice.add(1, 0, "%s: %d", name, r.answers)
+		c.duplicateAnswers.add(1, 0, "%s: %d answers", name, r.answers)
 	}
-	severedAt := v.severedAt(r.on)
-	due := r.sentAt.Add(r.timeout + answerSlack)
+	brokenAt := c.brokenAt(r.conn)
+	due := r.sentAt.Add(r.timeout + maxAnswerDelay)
 	switch {
-	case !r.leftAt.IsZero() && (r.answers > 0 || r.leftAt.Before(due) || r.on.readDelay > 0):
-		v.left++
-	case r.answers == 0 && !severedAt.IsZero() && severedAt.Before(due):
-		v.severed++
+	case !r.abandonedAt.IsZero() && (r.answers > 0 || r.abandonedAt.Before(due) || r.conn.readDelay > 0):
+		c.abandoned++
+	case r.answers == 0 && !brokenAt.IsZero() && brokenAt.Before(due):
+		c.brokenByFaults++
 	case r.answers == 0:
-		v.stayed++
-		v.judgeUnanswered(name, r)
+		c.awaited++
+		c.checkUnanswered(name, r)
 	default:
-		v.stayed++
-		v.judgeAnswered(name, r)
+		c.awaited++
+		c.checkAnswered(name, r)
 	}
-	if !severedAt.IsZero() && (r.leftAt.IsZero() || severedAt.Before(r.leftAt)) {
-		r.leftAt = severedAt
+	if !brokenAt.IsZero() && (r.abandonedAt.IsZero() || brokenAt.Before(r.abandonedAt)) {
+		r.abandonedAt = brokenAt
 	}
 }
 
-// judgeUnanswered records a request without an answer.
-func (v *verdict) judgeUnanswered(name string, r *request) {
-	explained := time.Duration(0)
-	if v.lateness.Near(r.sentAt) > messageTimeout/2 {
-		explained = 1 // this process may have stopped within a message, or before the first, for as long as a director waits
+// checkUnanswered records a request without an answer.
+func (c *recordChecker) checkUnanswered(name string, r *request) {
+	lateness := time.Duration(0)
+	if c.lateness.Near(r.sentAt) > messageTimeout/2 {
+		lateness = 1 // this process may have stopped for messageTimeout within a message or before the first one
 	}
-	v.unanswered.add(1, explained, "%s: its connection from %s opened at %v, ended at %v, %v, reads %v late; faults on it: %s", name, r.on.local,
-		rounded(r.on.openedAt.Sub(v.begun)), rounded(r.on.endedAt.Sub(v.begun)), r.on.err, r.on.readDelay, v.faultsOn(r.on))
+	c.unanswered.add(1, lateness, "%s: connection from %s opened at %v, ended at %v with error %v, read delay %v; faults on it: %s",
+		name, r.conn.localAddr, rounded(r.conn.openedAt.Sub(c.loadStart)), rounded(r.conn.endedAt.Sub(c.loadStart)), r.conn.err,
+		r.conn.readDelay, c.faultsOn(r.conn))
 }
 
-// judgeAnswered checks whether the answer to a request came in time.
-func (v *verdict) judgeAnswered(name string, r *request) {
+// checkAnswered checks whether the answer to a request arrived in time.
+func (c *recordChecker) checkAnswered(name string, r *request) {
 	took := r.answeredAt.Sub(r.sentAt)
 	if r.served {
-		v.served++
+		c.served++
 	}
 	if took > r.timeout {
-		v.pastDeadline++
+		c.pastDeadline++
 	}
-	if r.on.readDelay > 0 { // it is unknown when the answer came
+	if r.conn.readDelay > 0 { // the arrival time of the answer is unknown
 		return
 	}
-	free := v.free(span{r.sentAt.Add(r.timeout), r.answeredAt}, r.on.local)
-	if took > r.timeout+answerSlack && free <= ownSlack {
-		v.Logf("%s: after %v, but the trial itself left %v of the time after its deadline", name, took, free)
-		v.excused++
+	undisturbed := c.undisturbedTime(interval{r.sentAt.Add(r.timeout), r.answeredAt}, r.conn.localAddr)
+	if took > r.timeout+maxAnswerDelay && undisturbed <= maxUndisturbed {
+		c.Logf("%s: answered after %v, but the trial left the director only %v after the deadline", name, took, undisturbed)
+		c.delayedByTrial++
 		return
 	}
-	machine := v.lateness.Near(r.answeredAt) + v.starved(span{r.sentAt, r.answeredAt})
-	v.late.add(took-r.timeout-answerSlack, machine, "%s: after %v, of which the machine took %v and the trial left %v after its deadline; "+
-		"slow log lines took %v of the time since it was sent", name, took, machine, free, v.slowLogging(span{r.sentAt, r.answeredAt}))
-	if r.sentAt.After(v.calmFrom) && r.timeout > calmTimeout {
-		v.calm++
+	lateness := c.lateness.Near(r.answeredAt) + c.timeWithoutCPU(interval{r.sentAt, r.answeredAt})
+	c.lateAnswers.add(took-r.timeout-maxAnswerDelay, lateness, "%s: answered after %v; lateness of the machine %v; "+
+		"the trial left the director %v after the deadline; slow log lines took %v since the request was sent",
+		name, took, lateness, undisturbed, c.slowLogging(interval{r.sentAt, r.answeredAt}))
+	if r.sentAt.After(c.quietFrom) && r.timeout > minQuietTimeout {
+		c.sentInQuiet++
 		if r.served {
-			v.calmServed++
+			c.servedInQuiet++
 		}
 	}
 }
 
-// judgeAttempt checks an attempt against the leaving of its client, the time that the client had left, and earlier attempts.
-func (v *verdict) judgeAttempt(a *attempt) {
-	r := v.requests[a.id]
+// checkAttempt checks that an attempt did not begin too long after its client cancelled or disconnected, that its timeout ends by
+// the client's deadline, and that it does not repeat a non-idempotent request after a possible execution.
+func (c *recordChecker) checkAttempt(a *attempt) {
+	r := c.requests[a.id]
 	if r == nil {
-		v.unknown.add(1, 0, "%+v", *a)
+		c.unknownAttempts.add(1, 0, "%+v", *a)
 		return
 	}
-	lateness := max(v.lateness.Near(a.first), v.lateness.Near(a.last))
-	at := rounded(a.first.Sub(v.begun))
-	if !r.leftAt.IsZero() {
-		after := a.first.Sub(r.leftAt)
-		v.latestDeparture = max(v.latestDeparture, after)
-		v.departed.add(after-departureSlack-measureSlack, lateness, "%s (%s): at %v, %v after its client left, %v after it was sent; %s",
-			a.id, a.class, at, rounded(after), rounded(a.first.Sub(r.sentAt)), v.faultsBefore(a.first, a.node))
+	lateness := max(c.lateness.Near(a.firstByteAt), c.lateness.Near(a.lastByteAt))
+	at := rounded(a.firstByteAt.Sub(c.loadStart))
+	if !r.abandonedAt.IsZero() {
+		after := a.firstByteAt.Sub(r.abandonedAt)
+		c.longestAttemptDelay = max(c.longestAttemptDelay, after)
+		c.attemptsAfterDeparture.add(after-maxAttemptDelay-measurementSlack, lateness,
+			"%s (%s): at %v, %v after the client cancelled or disconnected, %v after the request was sent; %s",
+			a.id, a.class, at, rounded(after), rounded(a.firstByteAt.Sub(r.sentAt)), c.faultsBefore(a.firstByteAt, a.node))
 	}
-	remaining := r.timeout - a.last.Sub(r.sentAt)
-	over := a.timeout - remaining
-	v.worstTimeout = max(v.worstTimeout, over)
-	v.timeouts.add(over-timeoutSlack, lateness+v.starved(span{r.sentAt, a.last}), "%s (%s): at %v, w=%v where %v were left, %v between its "+
-		"first and last byte; sent %v after its connection was opened; %s", a.id, a.class, at, a.timeout, rounded(remaining),
-		rounded(a.last.Sub(a.first)), rounded(r.sentAt.Sub(r.on.openedAt)), v.faultsBefore(a.last, a.node))
-	if a.repeated && classes[r.class].effect == "non_idempotent" {
-		v.repeated.add(1, 0, "%s at %v", a.id, at)
+	remaining := r.timeout - a.lastByteAt.Sub(r.sentAt)
+	excess := a.timeout - remaining
+	c.largestTimeoutExcess = max(c.largestTimeoutExcess, excess)
+	c.excessTimeouts.add(excess-maxTimeoutExcess, lateness+c.timeWithoutCPU(interval{r.sentAt, a.lastByteAt}),
+		"%s (%s): at %v, timeout %v with %v until the deadline, %v between its first and last byte; "+
+			"request sent %v after its connection was opened; %s", a.id, a.class, at, a.timeout, rounded(remaining),
+		rounded(a.lastByteAt.Sub(a.firstByteAt)), rounded(r.sentAt.Sub(r.conn.openedAt)), c.faultsBefore(a.lastByteAt, a.node))
+	if a.repeatsUnresolved && classes[r.class].effect == "non_idempotent" {
+		c.unsafeRepeats.add(1, 0, "%s at %v", a.id, at)
 	}
 }
 
-// severedAt returns when an injected fault ended a client's connection, or the zero time if none did.
-func (t *trial) severedAt(c *connection) time.Time {
-	for _, f := range t.injected[c.local] {
-		if f.breaks() && f.at.After(c.openedAt) && (c.endedAt.IsZero() || f.at.Before(c.endedAt.Add(endVicinity))) {
+// brokenAt returns the time at which an injected fault broke a client's connection, or the zero time if none did.
+func (t *trial) brokenAt(c *connection) time.Time {
+	for _, f := range t.injected[c.localAddr] {
+		if f.breaksClientConnection() && f.at.After(c.openedAt) && (c.endedAt.IsZero() || f.at.Before(c.endedAt.Add(endVicinity))) {
 			return f.at
 		}
 	}
@@ -204,64 +212,66 @@
 // faultsOn lists the faults that were injected on a client's connection, or on an earlier one from the same address, with the
 // time since the connection was opened.
 func (t *trial) faultsOn(c *connection) string {
-	var all []string
-	for _, f := range t.injected[c.local] {
-		all = append(all, fmt.Sprintf("%v at %v", f.Fault, rounded(f.at.Sub(c.openedAt))))
+	var faults []string
+	for _, f := range t.injected[c.localAddr] {
+		faults = append(faults, fmt.Sprintf("%v at %v", f.Fault, rounded(f.at.Sub(c.openedAt))))
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(faults, ", ")
 }
 
 // faultsBefore lists the faults that were injected on connections to an address shortly before a time.
 func (t *trial) faultsBefore(at time.Time, remote string) string {
-	var all []string
+	var faults []string
 	for _, f := range t.injected[remote] {
 		if ago := at.Sub(f.at); ago > 0 && ago < faultVicinity {
-			all = append(all, fmt.Sprintf("%v before: %v", rounded(ago), f.Fault))
+			faults = append(faults, fmt.Sprintf("%v before: %v", rounded(ago), f.Fault))
 		}
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(faults, ", ")
 }
 
-// report logs the verdict, and fails the test on proved breaches and stray answers.
-func (v *verdict) report() {
-	v.Logf("%d requests: %d stayed, %d left, %d severed by injected faults; %d served, %d answered past their time, %d over 0.5 s while the trial "+
-		"kept the director from answering; %d attempts; an attempt began %v after its client left at most, a deadline was %v over at most; in the "+
-		"calm at the end %d of %d served; this process woke late by %v (half), %v (99 in 100), %v (all); the director's had no core for %v beyond "+
-		"its pauses", len(v.requests), v.stayed, v.left, v.severed, v.served, v.pastDeadline, v.excused, len(v.attempts),
-		rounded(v.latestDeparture), rounded(v.worstTimeout), v.calmServed, v.calm, v.lateness.Quantile(0.5), v.lateness.Quantile(0.99),
-		v.lateness.Quantile(1), rounded(v.starved(span{v.begun, time.Now()})))
-	v.Logf("injected: %s", listCounts(v.injectedCounts))
-	v.Logf("played: %s", listCounts(v.counts))
-	for _, f := range []*finding{&v.unanswered, &v.answeredTwice, &v.late, &v.departed, &v.timeouts, &v.repeated, &v.unknown} {
-		f.report(v.trial)
+// report logs the results, and fails the test on unexplained violations and stray answers.
+func (c *recordChecker) report() {
+	c.Logf("%d requests: %d awaited, %d abandoned, %d broken by injected faults; %d served, %d answered after the deadline, %d of "+
+		"them by more than 0.5 s while the trial delayed the director; %d attempts; latest attempt %v after a cancel or disconnect, "+
+		"largest excess of a timeout %v; %d of %d requests served at the end, without faults; lateness of this process %v (median), "+
+		"%v (99th percentile), %v (maximum); the director's process did not run for %v in addition to its pauses",
+		len(c.requests), c.awaited, c.abandoned, c.brokenByFaults, c.served, c.pastDeadline, c.delayedByTrial, len(c.attempts),
+		rounded(c.longestAttemptDelay), rounded(c.largestTimeoutExcess), c.servedInQuiet, c.sentInQuiet, c.lateness.Quantile(0.5),
+		c.lateness.Quantile(0.99), c.lateness.Quantile(1), rounded(c.timeWithoutCPU(interval{c.loadStart, time.Now()})))
+	c.Logf("injected: %s", listCounts(c.injectedCounts))
+	c.Logf("events: %s", listCounts(c.counts))
+	for _, r := range []*ruleResult{&c.unanswered, &c.duplicateAnswers, &c.lateAnswers, &c.attemptsAfterDeparture, &c.excessTimeouts,
+		&c.unsafeRepeats, &c.unknownAttempts} {
+		r.report(c.trial)
 	}
-	if v.strayAnswers > 0 {
-		v.Errorf("%d answers to nothing that was sent", v.strayAnswers)
+	if c.strayAnswers > 0 {
+		c.Errorf("%d answers to requests that were not sent, want none", c.strayAnswers)
 	}
 }
 
-// checkCoverage fails a run in which too little happened to show anything.
+// checkCoverage fails the test if too few requests, disturbances or faults occurred to test the rules.
 func (t *trial) checkCoverage() {
-	seconds := t.span.Seconds()
+	seconds := t.loadTime.Seconds()
 	if len(t.requests) < int(100*seconds) || len(t.attempts) < int(50*seconds) {
-		t.Errorf("%d requests and %d attempts are too few", len(t.requests), len(t.attempts))
+		t.Errorf("%d requests and %d attempts, want at least 100 and 50 a second of load", len(t.requests), len(t.attempts))
 	}
-	for _, what := range []string{"process paused", "node disturbed", "list: purges", "client: cancels", "client: leaves a request",
-		"node: never answers", "node: late hit", "node: reset", "node: fault", "node: none"} {
-		if t.counts[what] < int(seconds/3) {
-			t.Errorf("%s: only %d times", what, t.counts[what])
+	for _, event := range []string{"process paused", "node disturbed", "list: purge", "client: cancelled request", "client: abandoned request",
+		"node: no answer", "node: late hit", "node: reset", "node: fault", "node: not cached"} {
+		if t.counts[event] < int(seconds/3) {
+			t.Errorf("%s: only %d times", event, t.counts[event])
 		}
 	}
-	for _, what := range []string{"list: drains", "list: goes", "list: moves", "list: comes back", "watch: silent", "client: leaves amid a message",
-		"client: reads late"} {
-		if t.counts[what] < 1 {
-			t.Errorf("%s: never", what)
+	for _, event := range []string{"list: node draining", "list: node gone", "list: node moved", "list: node back", "discovery: silent",
+		"client: disconnected within a message", "client: delayed reads"} {
+		if t.counts[event] < 1 {
+			t.Errorf("%s: never", event)
 		}
 	}
-	rates := plan(0)
-	for place, of := range map[faultnet.Place]faultnet.Rates{faultnet.AtDial: rates.Dial, faultnet.AtAccept: rates.Accept,
-		faultnet.OnDialed: rates.Dialed, faultnet.OnAccepted: rates.Accepted} {
-		for kind, rate := range of {
+	faults := plan(0)
+	for place, rates := range map[faultnet.Place]faultnet.Rates{faultnet.AtDial: faults.Dial, faultnet.AtAccept: faults.Accept,
+		faultnet.OnDialed: faults.Dialed, faultnet.OnAccepted: faults.Accepted} {
+		for kind, rate := range rates {
 			if name := (faultnet.Fault{Place: place, Kind: kind}).String(); rate > 0 && t.injectedCounts[name] == 0 {
 				t.Errorf("%s: never injected", name)
 			}
@@ -271,10 +281,10 @@
 
 // listCounts formats counts in the order of their names.
 func listCounts(counts map[string]int) string {
-	var all []string
-	for what, n := range counts {
-		all = append(all, fmt.Sprintf("%s %d", what, n))
+	var texts []string
+	for event, n := range counts {
+		texts = append(texts, fmt.Sprintf("%s %d", event, n))
 	}
-	slices.Sort(all)
-	return strings.Join(all, ", ")
+	slices.Sort(texts)
+	return strings.Join(texts, ", ")
 }
--- a/internal/testing/mixed/mixed_test.go
+++ b/internal/testing/mixed/mixed_test.go
@@ -2,8 +2,8 @@
 //
 // The director runs in a process of its own (director_test.go), which process_test.go starts and stops. Clients
 // (clients_test.go) load it. Cache nodes (nodes_test.go) and a discovery service (discovery_test.go) serve it.
-// disturbances_test.go makes them and the process fail. All of them record what they see in a trial (trial_test.go). After the
-// load judge_test.go compares these records with what the director's terms allow.
+// disturbances_test.go makes them and the process fail. Each records its observations in a trial (trial_test.go). After the load,
+// judge_test.go checks these records against the rules that a director must follow.
 package mixed
 
 import (
@@ -17,55 +17,56 @@
 )
 
 var (
-	seedFlag = flag.Uint64("mixed.seed", 46, "seed of all that is drawn by chance")
-	spanFlag = flag.Duration("mixed.span", 30*time.Second, "how long the load lasts")
+	seedFlag     = flag.Uint64("mixed.seed", 46, "seed of all random draws")
+	loadTimeFlag = flag.Duration("mixed.span", 30*time.Second, "duration of the load")
 )
 
 const (
-	nodeCount      = 12
-	clientCount    = 40
-	descriptors    = 400                    // of the director
-	maxRuns        = 3                      // until one is not void
-	voidFrom       = 500 * time.Millisecond // longest stop of the machine itself with which a run counts
-	shortSpan      = 10 * time.Second       // longest load with -short
-	quietSpan      = 3 * time.Second        // at the end of the load, without faults, to see that all is served again
-	settleSpan     = time.Second            // at the beginning of quietSpan, not judged yet
-	longestStep    = 150 * time.Millisecond // between the steps of a client
-	shutdownWithin = 10 * time.Second       // from SIGTERM to the end of the process
+	nodeCount       = 12
+	clientCount     = 40
+	descriptors     = 400                    // limit of the director's sockets
+	maxTrials       = 3                      // until one is valid
+	maxMachineStop  = 500 * time.Millisecond // a trial is valid if the machine itself stopped for at most this time
+	shortLoadTime   = 10 * time.Second       // longest load with -short
+	quietTime       = 3 * time.Second        // at the end of the load, without faults, to measure whether requests are served again
+	settleTime      = time.Second            // at the beginning of quietTime, when requests are not counted yet
+	maxStepInterval = 150 * time.Millisecond // between the steps of a client
+	shutdownWithin  = 10 * time.Second       // from SIGTERM to the end of the process
 )
 
-// A director is under load while its system calls fail, its process is paused and its locks are held for long. Nodes hang,
-// reset, answer late, twice or not at all. Clients leave, cancel, and write in pieces or incompletely. Endpoint lists, purges
-// and the watch change. Even so
+// A director is under load while its system calls fail, its process is paused and its locks are held for a long time. Nodes hang,
+// reset connections, and answer late, twice or not at all. Clients disconnect, cancel, and write in pieces or incompletely. Nodes
+// are added, removed and moved, objects are purged, and the discovery service is silent or moves. The director must still follow
+// these rules:
 //
-//   - each request that was read and whose client stayed has exactly one final answer, at most 0.5 s past its deadline,
-//   - no attempt begins more than 0.1 s after its client left,
-//   - no attempt carries a deadline more than 0.15 s over the time that its client had left when it arrived,
-//   - no request that must not be executed twice is sent again while an earlier attempt may have been executed.
+//   - Each request that was read and whose client waits has exactly one final answer, at most 0.5 s after its deadline.
+//   - No attempt begins more than 0.1 s after its client cancelled or disconnected.
+//   - The timeout of an attempt exceeds the time until the client's deadline by at most 0.15 s when the attempt arrives.
+//   - No non-idempotent request is sent again while an earlier attempt may have been executed.
 //
-// If the machine itself stops for long, messages on their way are cut off. Such a run is void and is made again.
-func TestEverythingAtOnce(t *testing.T) {
-	for range maxRuns {
+// If the machine itself stops for long, messages in transit are cut off. Such a trial is invalid and is repeated.
+func TestDirectorKeepsRequestRulesUnderConcurrentFaults(t *testing.T) {
+	for range maxTrials {
 		trial := runTrial(t)
-		stopped := max(trial.lateness.Quantile(1), trial.longestStarved())
-		if stopped <= voidFrom {
-			trial.judge()
+		stopped := max(trial.lateness.Quantile(1), trial.longestTimeWithoutCPU())
+		if stopped <= maxMachineStop {
+			trial.checkRecords()
 			if t.Failed() {
-				t.Logf("last lines of its log:\n%s", trial.logged())
+				t.Logf("end of the director's log:\n%s", trial.logTail())
 			}
 			return
 		}
-		t.Logf("void: the machine stopped for %v by itself, over %v", stopped.Round(time.Millisecond), voidFrom)
+		t.Logf("invalid trial: the machine itself stopped for %v, more than %v", stopped.Round(time.Millisecond), maxMachineStop)
 	}
-	t.Fatalf("%d runs were void: give the machine more free cores or less load", maxRuns)
+	t.Fatalf("%d trials were invalid: give the machine more free cores or less load", maxTrials)
 }
 
-// runTrial makes one run. It returns once the director's process has ended.
+// runTrial runs a trial and returns it once the director's process has ended.
 func runTrial(t *testing.T) *trial {
-	trial := newTrial(t, *seedFlag, *spanFlag, filepath.Join(t.TempDir(), "config.json"))
-	t.Logf("seed %d, %v", trial.seed, trial.span)
+	trial := newTrial(t, *seedFlag, *loadTimeFlag, filepath.Join(t.TempDir(), "config.json"))
+	t.Logf("seed %d, %v", trial.seed, trial.loadTime)
 	nodes := trial.startNodes(nodeCount)
-	service := &discoveryService{closed: trial.stop}
+	service := &discoveryService{closed: trial.loadEnded}
 	watch, err := service.listen()
 	if err != nil {
 		t.Fatal(err)
@@ -75,12 +76,12 @@
 	trial.address = listener.Addr().String()
 	trial.configure(trial.configuration(watch.Addr().String(), nodes))
 	process := trial.launch(listener)
-	listener.Close() // the process has its own
+	listener.Close() // the process has its own descriptor
 	defer process.cmd.Process.Kill()
 	trial.awaitReady()
 
-	trial.begun = time.Now()
-	go trial.lateness.Run(trial.stop)
+	trial.loadStart = time.Now()
+	go trial.lateness.Run(trial.loadEnded)
 	var running sync.WaitGroup
 	running.Go(func() { trial.pauseProcess(process.cmd.Process) })
 	running.Go(func() { trial.disturbNodes(nodes, &running) })
@@ -88,14 +89,14 @@
 	for number := range clientCount {
 		running.Go(func() { trial.runClient(number) })
 	}
-	time.Sleep(trial.span)
-	close(trial.stop)
-	running.Wait() // clients stay until their requests are answered, or until long past their deadlines
+	time.Sleep(trial.loadTime)
+	close(trial.loadEnded)
+	running.Wait() // clients wait until their requests are answered or answerGrace is over
 	trial.shutDown(process)
 	return trial
 }
 
-// startNodes starts cache nodes that are closed at the end of the test.
+// startNodes starts cache nodes, which are closed when the test ends.
 func (t *trial) startNodes(count int) (nodes []*node) {
 	t.Helper()
 	for i := range count {
@@ -109,7 +110,7 @@
 	return nodes
 }
 
-// listen listens on a free port of the loopback.
+// listen listens on a free loopback port.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -124,13 +125,13 @@
 	t.Helper()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-p.reported:
+	case <-p.reportsRead:
 	case <-time.After(shutdownWithin):
-		t.Error("the director's process stays after SIGTERM")
+		t.Error("the director's process still runs after SIGTERM")
 		p.cmd.Process.Kill()
-		<-p.reported
+		<-p.reportsRead
 	}
 	if err := p.cmd.Wait(); err != nil {
-		t.Errorf("the director's process ends with %v: %s", err, t.logged())
+		t.Errorf("the director's process ended with %v: %s", err, t.logTail())
 	}
 }
--- a/internal/testing/mixed/nodes_test.go
+++ b/internal/testing/mixed/nodes_test.go
@@ -15,58 +15,58 @@
 
 // attempt is a request as it arrived at a node.
 type attempt struct {
-	id          string
-	class       string
-	node        string        // address of the node
-	first, last time.Time     // when its first and its last byte arrived
-	timeout     time.Duration // for which the director waits: the deadline passed on
-	repeated    bool          // an earlier attempt of the request may have been executed
+	id                      string
+	class                   string
+	node                    string        // address of the node
+	firstByteAt, lastByteAt time.Time     // arrival times of its first and its last byte
+	timeout                 time.Duration // timeout that the director sent with it
+	repeatsUnresolved       bool          // whether an earlier attempt at the request may have been executed
 }
 
 const (
-	largestBody    = 240_000                // bytes; the protocol's bound
-	largeBodyRate  = 0.03                   // rate of answers with a body of up to largestBody
-	smallBody      = 4000                   // bytes; bound on the bodies of other answers
-	longestService = 5 * time.Millisecond   // before an answer that is not late
-	longestDelay   = 400 * time.Millisecond // before a late answer
-	queuedCommands = 1000                   // commands of a connection that were read and are not handled yet
+	maxBodyBytes       = 240_000                // limit of the protocol
+	largeBodyRate      = 0.03                   // fraction of answers with a body of up to maxBodyBytes
+	maxSmallBodyBytes  = 4000                   // limit for the bodies of other answers
+	maxServiceTime     = 5 * time.Millisecond   // before an answer that is not late
+	maxLateServiceTime = 400 * time.Millisecond // before a late answer
+	maxQueuedCommands  = 1000                   // commands of a connection that were read but not handled yet
 )
 
-// condition is the condition of a node for a while.
+// condition is the temporary condition of a node.
 type condition uint8
 
 const (
 	healthy condition = iota
-	hanging           // it answers nothing
-	slow              // it answers late
-	failing           // it answers most requests with a fault
+	hanging           // sends no answers
+	slow              // answers late
+	failing           // answers most requests with a fault
 )
 
-// node is a test node that behaves by chance, within what cache nodes may do.
+// node is a cache node whose behaviour is drawn at random, within what the protocol allows cache nodes.
 type node struct {
 	trial     *trial
 	id        uint32
 	mu        sync.Mutex
 	condition condition
-	listeners []net.Listener // one for each address that it had
+	listeners []net.Listener // one for each address that the node has had
 	address   netip.AddrPort
 	startedAt time.Time
-	chance    *rand.Rand
+	random    *rand.Rand
 }
 
 // newNode returns a node that listens at a new address.
 func (t *trial) newNode(id uint32) (*node, error) {
-	n := &node{trial: t, id: id, chance: t.chance(uint64(id))}
+	n := &node{trial: t, id: id, random: t.randomSource(uint64(id))}
 	return n, n.move()
 }
 
-// move gives the node another address. It still serves the connections to the earlier ones.
+// move gives the node a new address. The node goes on serving the earlier addresses.
 func (n *node) move() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	if _, err := stamped(listener.(*net.TCPListener)); err != nil { // also stamps bytes that arrive before the accept
+	if _, err := enableTimestamps(listener.(*net.TCPListener)); err != nil { // also covers bytes that arrive before the accept
 		return err
 	}
 	n.mu.Lock()
@@ -108,15 +108,15 @@
 	return e
 }
 
-// set changes the node's condition.
-func (n *node) set(to condition) {
+// setCondition changes the node's condition.
+func (n *node) setCondition(next condition) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.condition = to
+	n.condition = next
 }
 
-// restarted sets the start time that the endpoint list names.
-func (n *node) restarted(at time.Time) {
+// setStartTime sets the start time in the node's entry of the endpoint list.
+func (n *node) setStartTime(at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.startedAt = at
@@ -132,30 +132,30 @@
 // timedCommand is a command with the times at which its first and its last byte were received.
 type timedCommand struct {
 	resp.Command
-	first, last time.Time
+	firstByteAt, lastByteAt time.Time
 }
 
-// serve reads commands until the connection ends. Its goroutine does nothing else, so that neither a lock nor an answer delays
-// it.
+// serve reads commands until the connection ends. Its goroutine does nothing else, so that neither locks nor answers delay
+// reads.
 func (c *nodeConn) serve() {
 	defer c.socket.Close()
-	commands := make(chan *timedCommand, queuedCommands)
+	commands := make(chan *timedCommand, maxQueuedCommands)
 	defer close(commands)
 	go c.handle(commands)
-	from, err := stamped(c.socket)
+	timestamps, err := enableTimestamps(c.socket)
 	if err != nil {
 		c.node.trial.Error(err)
 		return
 	}
-	in := bufio.NewReaderSize(from, 64<<10)
+	reader := bufio.NewReaderSize(timestamps, 64<<10)
 	for {
-		in.Peek(1)
-		first := from.receivedAt // when the system received the first byte
-		command, err := resp.ReadCommand(in)
+		reader.Peek(1)
+		firstByteAt := timestamps.receivedAt // when the kernel received the first byte
+		command, err := resp.ReadCommand(reader)
 		if err != nil {
 			return
 		}
-		commands <- &timedCommand{command, first, from.receivedAt}
+		commands <- &timedCommand{command, firstByteAt, timestamps.receivedAt}
 	}
 }
 
@@ -164,88 +164,88 @@
 	for command := range commands {
 		switch {
 		case command.Cancel:
-			c.node.trial.count("node: given up")
+			c.node.trial.count("node: cancelled request")
 		case command.HealthCheck:
 			c.send(resp.AppendResponse(nil, &resp.Response{ID: command.ID, Status: resp.Pong}))
 		default:
-			c.node.trial.noteAttempt(command, c.socket.LocalAddr().String())
+			c.node.trial.recordAttempt(command, c.socket.LocalAddr().String())
 			c.react(command.ID)
 		}
 	}
 }
 
-// send writes to the director. Answers of several goroutines take turns.
+// send writes to the director. The lock prevents answers of several goroutines from interleaving.
 func (c *nodeConn) send(b []byte) {
 	c.writing.Lock()
 	defer c.writing.Unlock()
 	c.socket.Write(b)
 }
 
-// reaction is what a node does with a request. The trial counts it as "node: " and its value.
+// reaction is a node's behaviour towards a request. The trial counts it under "node: " and its value.
 type reaction string
 
 const (
 	hit               reaction = "hit"
 	lateHit           reaction = "late hit"
 	twoHits           reaction = "hit twice"
-	notCached         reaction = "none"
-	rejected          reaction = "full"
+	notCached         reaction = "not cached"
+	rejected          reaction = "rejected"
 	fault             reaction = "fault"
-	alreadyFinished   reaction = "over already"
-	noAnswer          reaction = "never answers"
-	resets            reaction = "reset"
-	closes            reaction = "closed"
-	cutsAnswer        reaction = "cut amid its answer"
-	incompleteAnswers reaction = "stops amid its answer"
-	malformedAnswer   reaction = "spoilt"
+	alreadyFinished   reaction = "already finished"
+	noAnswer          reaction = "no answer"
+	resetConnection   reaction = "reset"
+	closeConnection   reaction = "closed"
+	closeWithinAnswer reaction = "closed within an answer"
+	incompleteAnswer  reaction = "incomplete answer"
+	malformedAnswer   reaction = "malformed answer"
 )
 
-// reactions holds the bounds by which a reaction is drawn: the first bound that a random number from 0 to 1 is below decides.
-// Above all bounds the request is a hit.
+// reactions maps a random number from 0 to 1 to a reaction: that of the first element whose bound is above the number. A number
+// above all bounds means a hit.
 var reactions = []struct {
 	below    float64
 	reaction reaction
 }{
-	{0.02, noAnswer}, {0.08, lateHit}, {0.10, notCached}, {0.12, rejected}, {0.14, fault}, {0.15, alreadyFinished}, {0.16, resets},
-	{0.17, closes}, {0.175, cutsAnswer}, {0.18, incompleteAnswers}, {0.185, malformedAnswer}, {0.20, twoHits},
+	{0.02, noAnswer}, {0.08, lateHit}, {0.10, notCached}, {0.12, rejected}, {0.14, fault}, {0.15, alreadyFinished}, {0.16, resetConnection},
+	{0.17, closeConnection}, {0.175, closeWithinAnswer}, {0.18, incompleteAnswer}, {0.185, malformedAnswer}, {0.20, twoHits},
 }
 
-// statuses holds the statuses of answers that are not hits. None of these answers has a body.
+// statuses holds the statuses of complete answers that are not hits. These answers have no body.
 var statuses = map[reaction]resp.Status{
 	notCached: resp.Miss, rejected: resp.Rejected, fault: resp.Failed, alreadyFinished: resp.AlreadyFinished,
 }
 
-// draw draws the reaction to a request, the time before it, and the size of the answer's body.
-func (n *node) draw() (what reaction, after time.Duration, size int) {
+// draw draws the reaction to a request, the delay before it, and the size of the answer's body.
+func (n *node) draw() (drawn reaction, after time.Duration, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	u, size := n.chance.Float64(), n.chance.IntN(smallBody)
-	if n.chance.Float64() < largeBodyRate {
-		size = n.chance.IntN(largestBody)
+	number, size := n.random.Float64(), n.random.IntN(maxSmallBodyBytes)
+	if n.random.Float64() < largeBodyRate {
+		size = n.random.IntN(maxBodyBytes)
 	}
-	after, delay := upTo(n.chance, longestService), upTo(n.chance, longestDelay)
-	what = drawReaction(n.condition, u)
-	if what == lateHit {
+	after, delay := randomUpTo(n.random, maxServiceTime), randomUpTo(n.random, maxLateServiceTime)
+	drawn = drawReaction(n.condition, number)
+	if drawn == lateHit {
 		after = delay
 	}
-	return what, after, size
+	return drawn, after, size
 }
 
 // drawReaction returns the reaction of a node in a condition for a random number from 0 to 1.
-func drawReaction(in condition, u float64) reaction {
+func drawReaction(current condition, number float64) reaction {
 	drawn := hit
 	for _, r := range reactions {
-		if u < r.below {
+		if number < r.below {
 			drawn = r.reaction
 			break
 		}
 	}
 	switch {
-	case in == hanging:
+	case current == hanging:
 		return noAnswer
-	case in == slow && drawn != noAnswer:
+	case current == slow && drawn != noAnswer:
 		return lateHit
-	case in == failing && u >= failingFrom:
+	case current == failing && number >= failingFrom:
 		return fault
 	}
 	return drawn
@@ -254,39 +254,39 @@
 // failingFrom is the random number below which a failing node reacts as a healthy one does.
 const failingFrom = 0.12
 
-// react draws a reaction to a request and starts it.
+// react draws a reaction to a request and performs it after its delay.
 func (c *nodeConn) react(id string) {
-	what, after, size := c.node.draw()
-	c.node.trial.count("node: " + string(what))
-	if what == noAnswer {
+	drawn, after, size := c.node.draw()
+	c.node.trial.count("node: " + string(drawn))
+	if drawn == noAnswer {
 		return
 	}
 	answer := resp.Response{ID: id, Status: resp.Hit, Fill: routing.CacheHit, Fetched: time.Now().UnixMilli(), Body: make([]byte, size)}
-	if status, ok := statuses[what]; ok {
+	if status, ok := statuses[drawn]; ok {
 		answer.Status, answer.Body = status, nil
 	}
-	time.AfterFunc(after, func() { c.perform(what, id, resp.AppendResponse(nil, &answer)) })
+	time.AfterFunc(after, func() { c.perform(drawn, id, resp.AppendResponse(nil, &answer)) })
 }
 
-// perform carries out a reaction. answer is the complete answer to the request.
-func (c *nodeConn) perform(what reaction, id string, answer []byte) {
-	switch what {
-	case resets:
+// perform performs a reaction. The answer is the complete answer to the request.
+func (c *nodeConn) perform(drawn reaction, id string, answer []byte) {
+	switch drawn {
+	case resetConnection:
 		c.socket.SetLinger(0)
 		c.socket.Close()
-	case closes:
+	case closeConnection:
 		c.socket.Close()
-	case cutsAnswer:
+	case closeWithinAnswer:
 		c.send(answer[:len(answer)/2])
 		c.socket.Close()
-	case incompleteAnswers:
+	case incompleteAnswer:
 		c.send(answer[:len(answer)/2])
 	case malformedAnswer:
 		c.send([]byte("*4\r\n$noise\r\n"))
 	case twoHits:
 		c.send(append(answer, answer...))
 	case notCached, rejected, alreadyFinished:
-		c.node.trial.noteNeverRan(id)
+		c.node.trial.recordNotExecuted(id)
 		c.send(answer)
 	default:
 		c.send(answer)
--- a/internal/testing/mixed/process_test.go
+++ b/internal/testing/mixed/process_test.go
@@ -17,21 +17,21 @@
 	readyWithin   = 20 * time.Second      // from the start of the process until it is ready
 	readyInterval = 10 * time.Millisecond // between two readiness checks
 	readyTimeout  = time.Second           // for one readiness check
-	loggedBytes   = 4000                  // bytes at the end of the director's log that a failed test shows
+	logTailBytes  = 4000                  // bytes at the end of the director's log that a failed test shows
 )
 
 // process is the director's process.
 type process struct {
-	cmd      *exec.Cmd
-	reported chan struct{} // closed at its end, after its last report was recorded
+	cmd         *exec.Cmd
+	reportsRead chan struct{} // closed when the process has ended and its last report was recorded
 }
 
 // configuration returns the director's configuration, with the discovery service at the given address.
 func (t *trial) configuration(service string, nodes []*node) string {
-	var listed, hosts []string
+	var classEntries, hosts []string
 	for _, c := range classes {
 		us := c.deadline.Microseconds()
-		listed = append(listed, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"idempotency":%q,"group":"all","window":%d}`,
+		classEntries = append(classEntries, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"idempotency":%q,"group":"all","window":%d}`,
 			c.name, us, us, c.effect, us))
 	}
 	for _, n := range nodes {
@@ -45,10 +45,10 @@
  "domain":{"midKind":1,"sourceKind":9,"passOn":[false,false,false,false],"hubOf":[0],"zoneBalancers":[1]},
  "limits":{"sendCap":4,"cancel":true,"retryAfter":true,"maxRetryAfter":1000000,"maxStreams":32},
  "rules":{"fallMultiple":3,"tipAfter":1000000,"rampTime":2000000,"startCapacity":0.2}}}`,
-		t.address, t.seed, service, directorCores, descriptors, firstEvent, firstEvent, strings.Join(hosts, ","), strings.Join(listed, ","))
+		t.address, t.seed, service, directorCores, descriptors, firstEvent, firstEvent, strings.Join(hosts, ","), strings.Join(classEntries, ","))
 }
 
-// configure replaces the configuration by a rename, as operators do.
+// configure replaces the configuration file by a rename, as operators do.
 func (t *trial) configure(text string) {
 	t.Helper()
 	if err := os.WriteFile(t.configPath+".new", []byte(text), 0o600); err != nil {
@@ -69,16 +69,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close() // the process has its own
+	defer file.Close() // the process has its own descriptor
 	cmd := exec.Command(os.Args[0])
 	cmd.ExtraFiles = []*os.File{file}
 	cmd.Env = append(os.Environ(), fmt.Sprintf("%s=%d", seedVariable, t.seed), "ROUTER_CONFIG="+t.configPath,
-		fmt.Sprintf("%s=%d", spanVariable, (t.span-quietSpan).Milliseconds()))
+		fmt.Sprintf("%s=%d", faultTimeVariable, (t.loadTime-quietTime).Milliseconds()))
 	log, err := os.Create(t.logPath())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close() // the process has its own
+	defer log.Close() // the process has its own descriptor
 	cmd.Stderr = log
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -87,20 +87,20 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	p := &process{cmd: cmd, reported: make(chan struct{})}
+	p := &process{cmd: cmd, reportsRead: make(chan struct{})}
 	go func() {
-		defer close(p.reported)
+		defer close(p.reportsRead)
 		for lines := bufio.NewScanner(out); lines.Scan(); {
-			if err := t.noteReport(lines.Text()); err != nil {
-				t.Errorf("the director's process reports %q: %v", lines.Text(), err)
+			if err := t.recordReport(lines.Text()); err != nil {
+				t.Errorf("invalid report %q of the director's process: %v", lines.Text(), err)
 			}
 		}
 	}()
 	return p
 }
 
-// noteReport records one line that the director's process wrote.
-func (t *trial) noteReport(line string) error {
+// recordReport records one line that the director's process wrote.
+func (t *trial) recordReport(line string) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	kind, text, _ := strings.Cut(line, " ")
@@ -124,21 +124,21 @@
 		t.injected[f.Remote] = append(t.injected[f.Remote], f)
 		return err
 	}
-	return fmt.Errorf("no kind of report is %q", kind)
+	return fmt.Errorf("unknown kind of report %q", kind)
 }
 
 // awaitReady waits until the director answers a readiness check.
 func (t *trial) awaitReady() {
 	t.Helper()
-	for until := time.Now().Add(readyWithin); time.Now().Before(until); time.Sleep(readyInterval) {
+	for deadline := time.Now().Add(readyWithin); time.Now().Before(deadline); time.Sleep(readyInterval) {
 		if t.isReady() {
 			return
 		}
 	}
-	t.Fatalf("the director is not ready: %s", t.logged())
+	t.Fatalf("the director is not ready in time: %s", t.logTail())
 }
 
-// isReady returns whether the director answers one readiness check.
+// isReady reports whether the director answers a readiness check.
 func (t *trial) isReady() bool {
 	conn, err := net.Dial("tcp", t.address)
 	if err != nil {
@@ -151,8 +151,8 @@
 	return err == nil
 }
 
-// logged returns the end of the director's log.
-func (t *trial) logged() string {
+// logTail returns the end of the director's log.
+func (t *trial) logTail() string {
 	b, _ := os.ReadFile(t.logPath())
-	return string(b[max(0, len(b)-loggedBytes):])
+	return string(b[max(0, len(b)-logTailBytes):])
 }
--- a/internal/testing/mixed/stamped_test.go
+++ b/internal/testing/mixed/stamped_test.go
@@ -13,19 +13,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// stampSpace is the size in bytes of the buffer for the control message with a time stamp.
-const stampSpace = 64
+// controlBufferSize is the size in bytes of the buffer for the control message with a timestamp.
+const controlBufferSize = 64
 
-// stampedReader reads a TCP connection and records when the system received the bytes that were read last. On a busy machine
-// this process may read them later.
-type stampedReader struct {
+// timestampReader reads a TCP connection and records when the kernel received the bytes of the last read. On a busy machine this
+// process may read them much later.
+type timestampReader struct {
 	raw        syscall.RawConn
-	control    [stampSpace]byte
-	receivedAt time.Time // by the wall clock; the time of the read if the system gives no stamp
+	control    [controlBufferSize]byte
+	receivedAt time.Time // by the wall clock; the time of the read if the kernel reports no timestamp
 }
 
-// stamped makes the system stamp the bytes that it receives on a connection, or on all that a listener accepts.
-func stamped(socket syscall.Conn) (*stampedReader, error) {
+// enableTimestamps enables kernel timestamps of the bytes received on a connection, or on all connections that a listener accepts.
+func enableTimestamps(socket syscall.Conn) (*timestampReader, error) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return nil, err
@@ -33,11 +33,11 @@
 	controlErr := raw.Control(func(descriptor uintptr) {
 		err = unix.SetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1)
 	})
-	return &stampedReader{raw: raw}, errors.Join(controlErr, err)
+	return &timestampReader{raw: raw}, errors.Join(controlErr, err)
 }
 
-// Read reads the bytes that have arrived. If there are none it waits for some.
-func (r *stampedReader) Read(b []byte) (n int, err error) {
+// Read reads the bytes that have arrived, or waits for some if there are none.
+func (r *timestampReader) Read(b []byte) (n int, err error) {
 	var controlBytes int
 	waitErr := r.raw.Read(func(descriptor uintptr) bool {
 		for n, controlBytes, _, _, err = unix.Recvmsg(int(descriptor), b, r.control[:], 0); err == unix.EINTR; {
@@ -53,54 +53,54 @@
 	case n == 0 && len(b) > 0:
 		return 0, io.EOF
 	}
-	r.receivedAt = stampIn(r.control[:controlBytes])
+	r.receivedAt = timestampOf(r.control[:controlBytes])
 	return n, nil
 }
 
-// stampIn returns the time stamp in a control message, or the current time if it has none.
-func stampIn(control []byte) time.Time {
+// timestampOf returns the timestamp in a control message, or the current time if it has none.
+func timestampOf(control []byte) time.Time {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
 		return time.Now()
 	}
 	for _, message := range messages {
-		var stamp unix.Timespec
-		isStamp := message.Header.Level == unix.SOL_SOCKET && message.Header.Type == unix.SCM_TIMESTAMPNS
-		if !isStamp || binary.Read(bytes.NewReader(message.Data), binary.NativeEndian, &stamp) != nil {
+		var timestamp unix.Timespec
+		isTimestamp := message.Header.Level == unix.SOL_SOCKET && message.Header.Type == unix.SCM_TIMESTAMPNS
+		if !isTimestamp || binary.Read(bytes.NewReader(message.Data), binary.NativeEndian, &timestamp) != nil {
 			continue
 		}
-		return time.Unix(stamp.Unix())
+		return time.Unix(timestamp.Unix())
 	}
 	return time.Now()
 }
 
-// Bytes that lie unread are stamped with the time at which the system received them, before and after the accept.
-func TestStampedReader(t *testing.T) {
-	const unread = 50 * time.Millisecond
+// The timestamp of bytes that stay unread for a while is the time at which the kernel received them, before and after the accept.
+func TestTimestampReaderReportsArrivalTime(t *testing.T) {
+	const unreadTime = 50 * time.Millisecond
 	listener := listen(t)
 	defer listener.Close()
-	if _, err := stamped(listener); err != nil {
+	if _, err := enableTimestamps(listener); err != nil {
 		t.Fatal(err)
 	}
 	client, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	var reader *stampedReader
+	var reader *timestampReader
 	for _, text := range []string{"before it is accepted", "later"} {
 		before := time.Now()
 		if _, err := client.Write([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
 		written := time.Now()
-		time.Sleep(unread)
+		time.Sleep(unreadTime)
 		if reader == nil {
 			server, err := listener.AcceptTCP()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer server.Close()
-			if reader, err = stamped(server); err != nil {
+			if reader, err = enableTimestamps(server); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -109,8 +109,8 @@
 		if err != nil || string(got[:n]) != text {
 			t.Fatalf("read %q, %v; want %q", got[:n], err, text)
 		}
-		if at := reader.receivedAt; at.Before(before.Add(-time.Millisecond)) || at.After(written.Add(unread/2)) {
-			t.Errorf("%q: received %v after it was written", text, at.Sub(written))
+		if at := reader.receivedAt; at.Before(before.Add(-time.Millisecond)) || at.After(written.Add(unreadTime/2)) {
+			t.Errorf("%q: timestamp is %v after the write, want at most half of the time before the read", text, at.Sub(written))
 		}
 	}
 	client.Close()
