--- a/internal/testing/loopback/serve.go
+++ b/internal/testing/loopback/serve.go
@@ -9,8 +9,8 @@
 )
 
 // Serve listens on a free loopback port until the test ends, and returns its address. It calls handle for each connection, in a
-// goroutine of its own, and closes the connection when handle returns. When the test ends, Serve closes all connections and
-// waits until each handle has returned. The test fails if Serve cannot listen.
+// separate goroutine, and closes the connection when handle returns. When the test ends, all connections are closed, and the
+// cleanup waits until every call of handle has returned. The test fails if Serve cannot listen.
 func Serve(t testing.TB, handle func(conn net.Conn)) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 	goroutines sync.WaitGroup
 
 	mu     sync.Mutex        // guards the fields below
-	conns  map[net.Conn]bool // the open ones
+	conns  map[net.Conn]bool // the open connections
 	closed bool
 }
 
@@ -55,7 +55,7 @@
 	s.handle(conn)
 }
 
-// add keeps an open connection. It returns false if the test has ended.
+// add registers an open connection. It returns false if the test has ended.
 func (s *server) add(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 	return !s.closed
 }
 
-// remove drops a connection that has been handled.
+// remove removes a connection that has been handled.
 func (s *server) remove(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/loopback/serve_test.go
+++ b/internal/testing/loopback/serve_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Connections are served while the test runs. When it ends, they are closed, and so is the listener.
-func TestServeEndsWithTheTest(t *testing.T) {
+// Connections are served while the test runs. The listener and the connections are closed when the test ends.
+func TestServeClosesConnectionsWhenTestEnds(t *testing.T) {
 	var conn net.Conn
 	var addr string
 	t.Run("open", func(t *testing.T) {
@@ -21,14 +21,14 @@
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
 		conn.Write([]byte("x"))
 		if _, err := io.ReadFull(conn, got); err != nil || got[0] != 'x' {
-			t.Errorf("got %q, %v, want the byte back", got, err)
+			t.Errorf("got %q, %v, want the echoed byte", got, err)
 		}
 	})
 	defer conn.Close()
 	if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("reading after the test: %v, want %v", err, io.EOF)
+		t.Errorf("read after the test: got %v, want %v", err, io.EOF)
 	}
 	if _, err := net.Dial("tcp", addr); err == nil {
-		t.Error("the listener is open after the test")
+		t.Error("the listener accepts connections after the test")
 	}
 }
--- a/internal/testing/poll/poll_test.go
+++ b/internal/testing/poll/poll_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The wait ends once the condition holds.
-func TestUntilConditionHolds(t *testing.T) {
+// Until returns as soon as the condition holds.
+func TestUntilReturnsWhenConditionHolds(t *testing.T) {
 	checks := 0
 	took, ok := Until(time.Minute, time.Millisecond, func() bool { checks++; return checks == 3 })
 	if !ok || checks != 3 {
@@ -17,8 +17,8 @@
 	}
 }
 
-// A condition that never holds is checked until the time is over.
-func TestUntilTimeIsOver(t *testing.T) {
+// A condition that never holds is checked until the given time has passed.
+func TestUntilTimesOut(t *testing.T) {
 	const within = 10 * time.Millisecond
 	checks := 0
 	took, ok := Until(within, time.Millisecond, func() bool { checks++; return false })
--- a/internal/testing/wakeups/wakeups.go
+++ b/internal/testing/wakeups/wakeups.go
@@ -1,6 +1,6 @@
-// Package wakeups measures how late the machine wakes this process after a sleep. A test that measures another process from
-// outside cannot tell the delay of that process from its own. It allows for the lateness that this package measures. Only tests
-// use it.
+// Package wakeups measures how late sleeps of this process end. A test that measures the delay of another process cannot
+// distinguish it from a delay of its own process. Such a test allows for the lateness that this package measures. Only tests
+// use this package.
 package wakeups
 
 import (
@@ -11,17 +11,17 @@
 
 const (
 	interval = 2 * time.Millisecond   // requested length of each sleep
-	vicinity = 100 * time.Millisecond // before and after a time, for Near
+	vicinity = 100 * time.Millisecond // Near considers the sleeps that ended within this time before or after a given time
 )
 
-// Meter records how late its sleeps end. The zero Meter is ready for use. It keeps all records.
+// Meter sleeps repeatedly and records how late each sleep ends. The zero Meter is ready for use. It never discards a record.
 type Meter struct {
 	mu       sync.Mutex      // guards the fields below
-	ends     []time.Time     // of the sleeps, ascending
-	lateness []time.Duration // of each sleep
+	ends     []time.Time     // end of each sleep, in order
+	lateness []time.Duration // of each sleep, by the same index
 }
 
-// Run measures until stop is closed.
+// Run sleeps and records until stop is closed.
 func (m *Meter) Run(stop <-chan struct{}) {
 	for {
 		select {
@@ -44,7 +44,7 @@
 	m.lateness = append(m.lateness, lateness)
 }
 
-// Near returns the greatest lateness within 100 ms before and after a time, or 0 if none was measured then.
+// Near returns the greatest lateness of the sleeps that ended less than 100 ms before or after a time, or 0 if there is none.
 func (m *Meter) Near(at time.Time) (worst time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,8 +54,8 @@
 	return worst
 }
 
-// Between returns the greatest lateness of the sleeps that ended between two times, and of the first sleep that ended after them,
-// as it was under way at the second time. It returns 0 if there is no such sleep.
+// Between returns the greatest lateness of the sleeps that ended between two times and of the first sleep that ended afterwards,
+// which was in progress at the second time. It returns 0 if there is no such sleep.
 func (m *Meter) Between(from, to time.Time) (worst time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -74,7 +74,7 @@
 	return index
 }
 
-// Quantile returns the lateness that the given fraction of all sleeps, from 0 to 1, did not exceed, or 0 if none was measured.
+// Quantile returns the lateness that the given fraction of all sleeps, from 0 to 1, did not exceed, or 0 if there are no sleeps.
 func (m *Meter) Quantile(fraction float64) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testing/wakeups/wakeups_test.go
+++ b/internal/testing/wakeups/wakeups_test.go
@@ -8,10 +8,10 @@
 
 const ms = time.Millisecond
 
-// sleep is a sleep that a meter has recorded. It ended at a time after start.
+// sleep is a recorded sleep of a meter. Its end counts from start.
 type sleep struct{ end, lateness time.Duration }
 
-// start is the time from which the ends of recorded sleeps count.
+// start is the time from which the end of a sleep counts.
 var start = time.Unix(1000, 0)
 
 // meterOf returns a meter that has recorded the sleeps.
@@ -42,7 +42,7 @@
 	}
 }
 
-// Between considers the sleeps that ended between two times, and the one under way at the second time.
+// Between considers the sleeps that ended between two times, and the sleep in progress at the second time.
 func TestBetween(t *testing.T) {
 	m := meterOf(sleep{0, 9 * ms}, sleep{200 * ms, 1 * ms}, sleep{290 * ms, 3 * ms}, sleep{500 * ms, 7 * ms})
 	for _, test := range []struct {
@@ -52,7 +52,7 @@
 	}{
 		{"a sleep between, and the first one after", 100 * ms, 210 * ms, 3 * ms},
 		{"sleeps that ended at both times", 0, 200 * ms, 9 * ms},
-		{"only a sleep under way at the end", 300 * ms, 400 * ms, 7 * ms},
+		{"only a sleep in progress at the end", 300 * ms, 400 * ms, 7 * ms},
 		{"after all sleeps", time.Hour, 2 * time.Hour, 0},
 	} {
 		if got := m.Between(start.Add(test.from), start.Add(test.to)); got != test.want {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Run records sleeps until it is stopped, including the one under way then.
-func TestRunRecordsUntilItIsStopped(t *testing.T) {
+// Run records sleeps until stop is closed, including the sleep in progress at that time.
+func TestRunRecordsUntilStopped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var m Meter
 		stop := make(chan struct{})
@@ -91,7 +91,7 @@
 			t.Errorf("%d sleeps, want 11", len(m.ends))
 		}
 		if latest := m.Quantile(1); latest != 0 {
-			t.Errorf("a sleep was %v late, want none that is late", latest)
+			t.Errorf("greatest lateness of a sleep is %v, want 0", latest)
 		}
 	})
 }
