--- a/internal/testing/emulator/attempt.go
+++ b/internal/testing/emulator/attempt.go
@@ -20,8 +20,8 @@
 	Class        int
 	Outcome      capacity.Outcome
 	Retries      int           // earlier attempts at the same request
-	IntendedAt   time.Duration // when the request was to be sent first
-	MetObjective bool          // served within the latency objective, counted from IntendedAt
+	IntendedAt   time.Duration // when the first attempt at the request was due
+	MetObjective bool          // whether it was served within the latency objective, counted from IntendedAt
 }
 
 // clientAttempt is one attempt at a request, at one director.
@@ -32,7 +32,7 @@
 	director netip.AddrPort
 	message  msgpack.Message
 	deadline *time.Timer
-	once     sync.Once // makes sure that the attempt ends once
+	once     sync.Once // ensures that the attempt ends only once
 
 	conn *clientConn // the connection it is sent on; guarded by the pool's lock
 }
--- a/internal/testing/emulator/body.go
+++ b/internal/testing/emulator/body.go
@@ -1,7 +1,7 @@
 package emulator
 
-// This file builds and reads the bodies of responses. A body names the part that it is, so that the rule checker can tell
-// what was served.
+// This file builds and reads the bodies of responses. A body contains the identity of its part, so that the rule checker can
+// verify which part was served.
 
 import "encoding/binary"
 
--- a/internal/testing/emulator/clientconn.go
+++ b/internal/testing/emulator/clientconn.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// setSocket keeps the dialed connection. It returns false if the pool was closed meanwhile.
+// setSocket stores the dialed connection. It returns false if the pool was closed during the dial.
 func (c *clientConn) setSocket(socket net.Conn) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/testing/emulator/directors.go
+++ b/internal/testing/emulator/directors.go
@@ -1,6 +1,6 @@
 package emulator
 
-// This file starts the directors of a fleet and keeps the addresses at which they listen.
+// This file starts and stops the directors of a fleet and records their client addresses.
 
 import (
 	"context"
@@ -101,9 +101,9 @@
 	for _, zoneDescription := range f.description.Zones {
 		zones = append(zones, zoneDescription.Name)
 	}
-	last, endpoints := f.discovery.snapshot()
+	lastEvent, endpoints := f.discovery.snapshot()
 	seed := f.options.Seed + uint64(number)*hashMultiplier
-	known := discovery.KnownJSON(last, endpoints, zones, kinds)
+	known := discovery.KnownJSON(lastEvent, endpoints, zones, kinds)
 	return f.description.Config(name, listen, f.discovery.addr.String(), zone, number, seed, known)
 }
 
--- a/internal/testing/emulator/discovery.go
+++ b/internal/testing/emulator/discovery.go
@@ -79,7 +79,7 @@
 }
 
 // snapshot returns the number of the last event, and all endpoints as they are now.
-func (d *discoveryService) snapshot() (last uint64, endpoints []discovery.Endpoint) {
+func (d *discoveryService) snapshot() (lastEvent uint64, endpoints []discovery.Endpoint) {
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
 	d.mu.Lock()
@@ -144,17 +144,17 @@
 func (d *discoveryService) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	last, ok := d.readHello(conn)
+	lastEvent, ok := d.readHello(conn)
 	if !ok {
 		return
 	}
 	for {
-		events, published := d.eventsAfter(last)
+		events, published := d.eventsAfter(lastEvent)
 		conn.SetWriteDeadline(time.Now().Add(frameTimeout))
-		if _, err := conn.Write(appendFrames(nil, last, events)); err != nil {
+		if _, err := conn.Write(appendFrames(nil, lastEvent, events)); err != nil {
 			return
 		}
-		last += uint64(len(events))
+		lastEvent += uint64(len(events))
 		select {
 		case <-published:
 		case <-time.After(heartbeatInterval):
@@ -166,32 +166,32 @@
 
 // readHello reads a director's first message, the number of the last event that it has. It returns false if the peer is not
 // a director of this fleet: ports are reused, so another program may connect here.
-func (d *discoveryService) readHello(conn net.Conn) (last uint64, ok bool) {
+func (d *discoveryService) readHello(conn net.Conn) (lastEvent uint64, ok bool) {
 	hello := make([]byte, helloSize)
 	conn.SetReadDeadline(time.Now().Add(helloTimeout))
 	if _, err := io.ReadFull(conn, hello); err != nil {
 		return 0, false
 	}
-	last, err := discovery.ReadHello(hello)
+	lastEvent, err := discovery.ReadHello(hello)
 	if err != nil {
 		return 0, false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return last, last <= uint64(len(d.events))
+	return lastEvent, lastEvent <= uint64(len(d.events))
 }
 
-// eventsAfter returns the events after number last, and a channel that is closed when the next one is published.
-func (d *discoveryService) eventsAfter(last uint64) ([]discovery.Event, <-chan struct{}) {
+// eventsAfter returns the events after number lastEvent, and a channel that is closed when the next one is published.
+func (d *discoveryService) eventsAfter(lastEvent uint64) ([]discovery.Event, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Clone(d.events[last:]), d.published
+	return slices.Clone(d.events[lastEvent:]), d.published
 }
 
-// appendFrames appends the frames of the events that follow event number last, or a heartbeat if there are none.
-func appendFrames(frames []byte, last uint64, events []discovery.Event) []byte {
+// appendFrames appends the frames of the events that follow event number lastEvent, or a heartbeat if there are none.
+func appendFrames(frames []byte, lastEvent uint64, events []discovery.Event) []byte {
 	if len(events) == 0 {
-		return discovery.AppendEvent(frames, &discovery.Event{Number: last})
+		return discovery.AppendEvent(frames, &discovery.Event{Number: lastEvent})
 	}
 	for i := range events {
 		frames = discovery.AppendEvent(frames, &events[i])
--- a/internal/testing/emulator/runner.go
+++ b/internal/testing/emulator/runner.go
@@ -22,7 +22,7 @@
 	// MaxLateness is the largest lateness of the emulator itself with which a run is valid; 0 means capacity.MaxLateness.
 	MaxLateness time.Duration
 
-	// The totals of all runs so far. Read them only while Run is not running.
+	// The totals of all runs so far. They must not be read while Run is in progress.
 	Violations []string      // of the protocol's rules
 	Lateness   time.Duration // the greatest of any run
 	Runs       int
