--- a/internal/compat/codecs_test.go
+++ b/internal/compat/codecs_test.go
@@ -156,12 +156,12 @@
 // TestDiscoveryJSON: the endpoint list in the form in which a configuration has it.
 func TestDiscoveryJSON(t *testing.T) {
 	zones, kinds := []string{"west", "east, far"}, []string{"box", "mid", "root"}
-	b, err := json.MarshalIndent(discovery.KnownJSON(7, discoveryMachines(), zones, kinds), "", " ")
+	b, err := json.MarshalIndent(discovery.NewSnapshot(7, discoveryMachines(), zones, kinds), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "discovery_known.json", append(b, '\n'))
-	last, events, err := discovery.Known(readGolden(t, "discovery_known.json"), zones, kinds)
+	last, events, err := discovery.ParseKnown(readGolden(t, "discovery_known.json"), zones, kinds)
 	want := []discovery.Event{{Number: 7, Endpoints: discoveryMachines(), Complete: true}}
 	if err != nil || last != 7 || !reflect.DeepEqual(events, want) {
 		t.Errorf("read as %d, %+v, %v", last, events, err)
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -49,7 +49,7 @@
 	line("seed", s.Seed)
 	line("me", s.Index)
 	line("zone", s.Zone)
-	line("domain.hubOf", s.Hub)
+	line("domain.hubOf", s.HubOfZone)
 	line("domain.midKind", s.ParentKind)
 	line("domain.sourceKind", s.OriginKind)
 	line("domain.mayPassBy", s.BypassAllowed)
@@ -82,7 +82,7 @@
 		line(at+"window", v.DedupWindow)
 		line(at+"classFresh", v.FreshFor)
 		line(at+"classGrace", v.StaleGrace)
-		line(at+"inParts", v.SplitInParts)
+		line(at+"inParts", v.Segmented)
 		line(at+"passOn", v.Write)
 	}
 	return b.Bytes()
@@ -113,7 +113,7 @@
 
 // TestSimulatorSettings: the text form of settings, as the simulator passes it.
 func TestSimulatorSettings(t *testing.T) {
-	s, err := config.Text(simulatorInfo)
+	s, err := config.ParseText(simulatorInfo)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testing/mixed/director_test.go
+++ b/internal/testing/mixed/director_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	director.Limit(conf)
+	director.SetRuntimeLimits(conf)
 	log := logrus.New()
 	log.SetOutput(&slowWriter{output: os.Stderr, random: rand.New(rand.NewPCG(seed, 2))})
 	faults := plan(time.Duration(faultMilliseconds) * time.Millisecond)
