--- a/cmd/indigochute/plan_test.go
+++ b/cmd/indigochute/plan_test.go
@@ -65,7 +65,7 @@
 		{"goal of an unknown class", 1, `no vhost "x"`, []string{"plan", smallFleet, "--load", smallCapture, "--goal", "x 9% in its aim"}},
 		{"goal out of reach", 1, "stands in the way",
 			[]string{"plan", "need", smallFleet, "--load", smallCapture, "--goal", "page 99% in its aim at 1200 reqs/s"}},
-		{"unknown scenario", 1, "no rehearsal", []string{"scenario", "dance"}},
+		{"unknown scenario", 1, "unknown scenario", []string{"scenario", "dance"}},
 		{"unknown schema", 2, "no schema", []string{"schema", "dance"}},
 		{"unknown log format", 2, "--log-format", []string{"serve", "--log-format", "loud"}},
 		{"emulate without a description", 1, "small.capture", []string{"emulate", smallCapture}},
--- a/internal/testing/scenario/jobs.go
+++ b/internal/testing/scenario/jobs.go
@@ -16,14 +16,14 @@
 
 const (
 	jobFaultsUntil  = 34 * time.Second // no fault is injected later than this after the start of a cluster
-	maxTakeover     = 10 * time.Second // every job of a lost director must run again within this time
-	settleAllowance = 5 * time.Second  // beyond maxTakeover, until the cluster has settled after a fault
+	maxTakeover     = 10 * time.Second // limit until every job of a lost director runs again
+	settleAllowance = 5 * time.Second  // added to maxTakeover: the limit until a cluster has settled after a fault
 	jobPeriod       = 400 * time.Millisecond
 	jobCount        = 6
 	jobSeedStream   = 0xd07 // second half of the seed of the random numbers
 
-	minSizeForTwoLosses = 5 // directors: a majority is left after two are lost
-	earlyFaultOdds      = 4 // one fault in so many begins before the cluster has recovered from the last one
+	minSizeForTwoLosses = 5 // smallest number of directors of which a majority remains after two are lost
+	earlyFaultOdds      = 4 // one in this many faults begins before the cluster has recovered from the previous one
 )
 
 // jobClusterConfig is the cluster configuration of all directors, up to the list of jobs.
@@ -73,8 +73,8 @@
 	disturbances  map[string][]interval // by name of the director
 }
 
-// interval is a time, by the cluster's clock, during which a director was killed, paused or cut off from the counter. Calls
-// under an old fencing token may reach the counter during it.
+// interval is a period, by the cluster's clock, during which a director was killed, paused or cut off. During it, calls of that
+// director with an old fencing token may reach the counter.
 type interval struct{ from, to time.Duration }
 
 // runJobCluster starts a cluster, injects faults until jobFaultsUntil, and checks the calls that the counter received.
@@ -91,7 +91,7 @@
 		return err
 	}
 	defer run.cluster.Close()
-	run.awaitSettled("from the start", 2*maxTakeover)
+	run.awaitSettled("after the start", 2*maxTakeover)
 	run.injectFaults(size)
 	run.cluster.Network.Heal("*")
 	for _, p := range run.cluster.Processes {
@@ -114,7 +114,8 @@
 	return text.String()
 }
 
-// injectFaults injects one random fault after another. Most begin once the cluster has recovered from the last one.
+// injectFaults injects one random fault after another. Most faults begin once the cluster has
+// recovered from the previous one.
 func (run *jobsRun) injectFaults(size int) {
 	faults := []func(){run.kill, run.pause, run.cutOff, run.shutDown, run.breakOneWay, run.degrade, run.delayStaleCall, run.restartTwice}
 	if size >= minSizeForTwoLosses {
@@ -130,17 +131,17 @@
 	}
 }
 
-// awaitSettled waits until every job has exactly one owner and has run again, and every director owns a job. It is a violation
-// if that takes longer than within.
+// awaitSettled waits until every job has exactly one owner and has run again, and every director owns a job. If that takes longer
+// than within, it adds a violation.
 func (run *jobsRun) awaitSettled(when string, within time.Duration) {
 	from := run.cluster.Now()
-	_, err := run.cluster.Await("every duty owned by one, all take part "+when, within, func() bool {
+	_, err := run.cluster.Await("every job has one owner and every director owns a job "+when, within, func() bool {
 		jobs, owners, unique := countOwners(run.cluster)
 		return unique && jobs == len(run.jobs) && owners == len(run.cluster.Processes) &&
 			run.cluster.Counter.AllRanSince(run.jobs, from)
 	})
 	if err != nil {
-		run.addViolation("duties forgotten: %v\n%s", err, run.cluster.Diagnostics())
+		run.addViolation("jobs did not settle: %v\n%s", err, run.cluster.Diagnostics())
 	}
 }
 
--- a/internal/testing/scenario/jobs_calls.go
+++ b/internal/testing/scenario/jobs_calls.go
@@ -12,36 +12,36 @@
 // false and both counts are 0.
 func countOwners(cluster *testcluster.Cluster) (jobs, owners int, unique bool) {
 	names := map[string]bool{}
-	all := cluster.Owners()
-	for _, claimants := range all {
+	claimantsByJob := cluster.Owners()
+	for _, claimants := range claimantsByJob {
 		if len(claimants) != 1 {
 			return 0, 0, false
 		}
 		names[claimants[0]] = true
 	}
-	return len(all), len(names), true
+	return len(claimantsByJob), len(names), true
 }
 
-// firstStarts returns, for each job, when it first started after a time. Only starts for which counts returns true are
-// considered. The argument known of counts is the highest fencing token that the job had used until that time.
+// firstStarts returns, for each job, the time of its first start after a given time. It considers only starts for which accept
+// returns true. The argument highestToken of accept is the highest fencing token that the job had used up to the given time.
 func firstStarts(calls []testcluster.Call, after time.Duration,
-	counts func(call *testcluster.Call, known uint64) bool) map[string]time.Duration {
-	known, first := map[string]uint64{}, map[string]time.Duration{}
+	accept func(call *testcluster.Call, highestToken uint64) bool) map[string]time.Duration {
+	highestTokens, first := map[string]uint64{}, map[string]time.Duration{}
 	for i := range calls {
 		call := &calls[i]
 		if call.At <= after {
-			known[call.Job] = max(known[call.Job], call.FencingToken)
+			highestTokens[call.Job] = max(highestTokens[call.Job], call.FencingToken)
 			continue
 		}
-		if _, found := first[call.Job]; !found && call.IsStart && counts(call, known[call.Job]) {
+		if _, found := first[call.Job]; !found && call.IsStart && accept(call, highestTokens[call.Job]) {
 			first[call.Job] = call.At
 		}
 	}
 	return first
 }
 
-// splitStale separates the stale calls from all others: those whose fencing token is lower than an earlier one of the same
-// job.
+// splitStale separates current calls from stale ones. A call is stale if its fencing token is lower than that of an earlier call
+// of the same job.
 func splitStale(calls []testcluster.Call) (current, stale []testcluster.Call) {
 	highest := map[string]uint64{}
 	for _, call := range calls {
--- a/internal/testing/scenario/jobs_check.go
+++ b/internal/testing/scenario/jobs_check.go
@@ -17,18 +17,19 @@
 	accepted := countAccepted(stale)
 	for _, call := range stale {
 		if !run.disturbed(call.Sender, call.At) {
-			run.addViolation("%s acted on %s under an old number at %v, though nothing had befallen it", call.Sender, call.Job, call.At)
+			run.addViolation("%s called the counter for job %s with a stale fencing token at %v, although no fault had affected it",
+				call.Sender, call.Job, call.At)
 		}
 	}
 	overlaps := run.cluster.Counter.Overlaps()
 	if overlaps > 0 {
-		run.addViolation("%d runs overlapped with %d processes", overlaps, size)
+		run.addViolation("%d runs of jobs overlapped in the cluster of %d processes", overlaps, size)
 	}
 	if accepted > 0 {
-		run.addViolation("%d effects by old fencing numbers with %d processes", accepted, size)
+		run.addViolation("%d calls with a stale fencing token were accepted in the cluster of %d processes", accepted, size)
 	}
 	if run.worstTakeover >= maxTakeover {
-		run.addViolation("the duties of a lost one were not run for %v with %d processes", run.worstTakeover, size)
+		run.addViolation("the jobs of a lost director did not run for %v in the cluster of %d processes", run.worstTakeover, size)
 	}
 	for _, violation := range run.cluster.Emulator.Violations() {
 		run.addViolation("%s", violation)
@@ -40,7 +41,7 @@
 	})
 }
 
-// addFigures adds the figures of a cluster to the report. The name of each ends with the cluster's size.
+// addFigures adds the figures of a cluster to the report. The name of each figure ends with the cluster's size.
 func (run *jobsRun) addFigures(size int, calls []testcluster.Call, counts map[string]int) {
 	starts, repeats := countStarts(calls)
 	slices.Sort(run.takeovers)
@@ -59,8 +60,8 @@
 	}
 }
 
-// countStarts counts the runs that the counter accepted, and as repeats those that began less than half a period after the
-// previous run of the job. A run is repeated if the director that ran the job was lost before it could announce the run.
+// countStarts counts the runs that the counter accepted. Runs that began less than half a period after the previous run of their
+// job are counted as repeats as well. A run is repeated if the director that ran the job was lost before it could announce the run.
 func countStarts(calls []testcluster.Call) (starts, repeats int) {
 	lastStart := map[string]time.Duration{}
 	for _, call := range calls {
--- a/internal/testing/scenario/jobs_faults.go
+++ b/internal/testing/scenario/jobs_faults.go
@@ -10,22 +10,22 @@
 	"indigochute.example/indigochute/internal/testing/testcluster"
 )
 
-// Bounds of the random lengths and strengths of faults. Those without a minimum are drawn from 0.
+// Bounds of the random lengths and strengths of faults. The minimum is 0 unless there is a constant for it.
 const (
-	maxLossLength      = 1500 * time.Millisecond // after all jobs run elsewhere
+	maxLossLength      = 1500 * time.Millisecond // from when all jobs run elsewhere until the lost directors recover
 	minLinkFault       = 500 * time.Millisecond
 	maxLinkFault       = 3 * time.Second
 	minLatency         = 50 * time.Millisecond
 	maxLatency         = 500 * time.Millisecond
 	maxJitter          = 300 * time.Millisecond
-	corruptProbability = 0.1 // of each chunk that a link forwards
+	corruptProbability = 0.1 // for each chunk that a link forwards
 	maxBytesUntilReset = 300
 	maxBetweenRestarts = 600 * time.Millisecond
 	maxBetweenLosses   = time.Second
 )
 
 const (
-	takeoverAllowance = 2 * time.Second // beyond maxTakeover, so that a takeover that is a little late is still measured
+	takeoverAllowance = 2 * time.Second // added to maxTakeover, so that a takeover that is slightly late is still measured
 
 	// A director counts as disturbed until disturbanceTail after the end of its fault, as calls may still be on their way.
 	disturbanceTail = 3 * time.Second
@@ -37,7 +37,7 @@
 // peerLinks is the pattern of all links between directors.
 const peerLinks = "n*>n*"
 
-// randomProcess draws one of the processes, other than the exceptions.
+// randomProcess returns a random process that is not one of the exceptions.
 func (run *jobsRun) randomProcess(except ...*testcluster.Process) *testcluster.Process {
 	for {
 		p := run.cluster.Processes[run.random.IntN(len(run.cluster.Processes))]
@@ -47,25 +47,25 @@
 	}
 }
 
-// randomDuration draws a duration between two bounds.
+// randomDuration returns a random duration between two bounds.
 func (run *jobsRun) randomDuration(shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(run.random.Float64()*float64(longest-shortest))
 }
 
-// loseAndRecover injects a fault by which the directors lost are lost. It measures how long it takes until each of their jobs
-// runs elsewhere, and ends the fault with recoverAll.
-func (run *jobsRun) loseAndRecover(lose, recoverAll func(), lost ...*testcluster.Process) {
-	jobs := run.jobsOf(lost)
+// loseAndRecover calls lose, which makes the given directors unavailable. It measures how long it takes until each of their jobs
+// runs elsewhere, and then calls recoverAll, which ends the fault.
+func (run *jobsRun) loseAndRecover(lose, recoverAll func(), directors ...*testcluster.Process) {
+	jobs := run.jobsOf(directors)
 	from := run.cluster.Now()
 	lose()
-	for _, p := range lost {
+	for _, p := range directors {
 		run.disturbances[p.Name] = append(run.disturbances[p.Name], interval{from, from + openDisturbance})
 	}
-	run.awaitTakeover(jobs, from, lost[0].Name)
+	run.awaitTakeover(jobs, from, directors[0].Name)
 	run.losses++
 	time.Sleep(run.randomDuration(0, maxLossLength))
 	recoverAll()
-	for _, p := range lost {
+	for _, p := range directors {
 		disturbances := run.disturbances[p.Name]
 		disturbances[len(disturbances)-1].to = run.cluster.Now() + disturbanceTail
 	}
@@ -86,11 +86,11 @@
 
 // awaitTakeover waits until each job of a lost director has run under a fencing token that is higher than before the loss. It
 // records how long each job took. A job that does not run in time is a violation.
-func (run *jobsRun) awaitTakeover(jobs map[string]bool, lostAt time.Duration, lost string) {
+func (run *jobsRun) awaitTakeover(jobs map[string]bool, lostAt time.Duration, director string) {
 	var first map[string]time.Duration
-	_, err := run.cluster.Await("every duty of "+lost+" runs again", maxTakeover+takeoverAllowance, func() bool {
-		first = firstStarts(run.cluster.Counter.Calls(), lostAt, func(call *testcluster.Call, known uint64) bool {
-			return jobs[call.Job] && call.FencingToken > known
+	_, err := run.cluster.Await("every job of "+director+" runs again", maxTakeover+takeoverAllowance, func() bool {
+		first = firstStarts(run.cluster.Counter.Calls(), lostAt, func(call *testcluster.Call, highestToken uint64) bool {
+			return jobs[call.Job] && call.FencingToken > highestToken
 		})
 		return len(first) == len(jobs)
 	})
@@ -150,7 +150,7 @@
 	run.cluster.Network.Heal(peerLinks)
 }
 
-// degrade adds latency to the links that one director dialed, or corrupts what passes over them in one case of three.
+// degrade adds latency to the links that one director dialed or, in one case of three, corrupts the bytes that pass over them.
 func (run *jobsRun) degrade() {
 	p := run.randomProcess()
 	fault := faultproxy.Fault{Latency: run.randomDuration(minLatency, maxLatency), Jitter: run.randomDuration(0, maxJitter)}
@@ -162,7 +162,8 @@
 	run.cluster.Network.Heal(peerLinks)
 }
 
-// delayStaleCall delays a call to the counter while its sender is paused until after its lease has expired.
+// delayStaleCall holds the calls of one director to the counter and pauses the director until its lease has expired. The calls
+// reach the counter before the director resumes.
 func (run *jobsRun) delayStaleCall() {
 	p := run.randomProcess()
 	run.cluster.Counter.HoldCalls(p)
--- a/internal/testing/scenario/overload.go
+++ b/internal/testing/scenario/overload.go
@@ -97,7 +97,7 @@
 	sustainableGoal     = "all 95% in its aim"
 	sustainableMeasured = 8 * time.Second
 	plannedRate         = 150         // requests a second of the load that the planner scales
-	plannedLength       = time.Minute // of that load
+	plannedLength       = time.Minute // length of that load
 )
 
 // SustainableRate returns the load that OverloadTopology with one director can just serve, in requests a second: the rate at
@@ -154,7 +154,7 @@
 	result.Forwarded = float64(forwarded) / math.Max(1, tally.distinct)
 	result.Late = max(load.Lateness(), cluster.Emulator.Lateness())
 	if violations := cluster.Emulator.Violations(); len(violations) > 0 {
-		return result, fmt.Errorf("rules broken: %v", violations)
+		return result, fmt.Errorf("protocol rules violated: %v", violations)
 	}
 	return result, nil
 }
--- a/internal/testing/scenario/overload_tally.go
+++ b/internal/testing/scenario/overload_tally.go
@@ -25,8 +25,8 @@
 	During     float64 // served share during the fault
 	After      float64 // served share after the fault
 
-	// Recovery is the time from the end of the fault until the served share is again what it was before the fault, less
-	// recoveryMargin. It is negative if that does not happen within the run.
+	// Recovery is the time from the end of the fault until the served share reaches Before less recoveryMargin again. It is
+	// negative if that does not happen within the run.
 	Recovery time.Duration
 
 	Forwarded      float64       // attempts at caches for each distinct request, over the complete run
@@ -38,12 +38,12 @@
 
 const (
 	slotLength       = 500 * time.Millisecond // resolution of the tally
-	spareSlots       = 20                     // after the end of the run
-	recoveryWindow   = 2 * time.Second        // over which service must be restored
-	recoveryMargin   = 0.05                   // of the served share
-	rejectionsAfter  = time.Second            // rejections count from this long after the fault began
-	uncountedEnd     = time.Second            // at the end of the run, whose requests may not have ended
-	minSpreadSamples = 20                     // attempts of one vhost at one director for which a rejected share is compared
+	spareSlots       = 20                     // slots after the end of the run
+	recoveryWindow   = 2 * time.Second        // period over which the served share must be restored
+	recoveryMargin   = 0.05                   // accepted loss of the served share
+	rejectionsAfter  = time.Second            // rejections count from this time after the start of the fault
+	uncountedEnd     = time.Second            // end of the run that does not count, as its requests may not have ended
+	minSpreadSamples = 20                     // attempts of a vhost at a director from which their rejected share is compared
 )
 
 // overloadTally adds up attempts as the clients' goroutines report them.
@@ -52,7 +52,7 @@
 
 	mu            sync.Mutex // guards the fields below
 	requested     []float64  // priority weight requested, by slot of the intended time
-	served        []float64  // the part of it that was answered within the latency objective
+	served        []float64  // the part of requested that was answered within the latency objective
 	distinct      float64    // requests after the warmup
 	clientRetries int
 	faultAttempts map[netip.AddrPort][]attemptCount // during the fault, by director and vhost
--- a/internal/testing/scenario/overload_test.go
+++ b/internal/testing/scenario/overload_test.go
@@ -10,11 +10,11 @@
 	"indigochute.example/indigochute/internal/testing/emulator"
 )
 
-var division = flag.Bool("division", false, "simulate what division among directors costs: half a minute")
+var division = flag.Bool("division", false, "simulate the cost of dividing a load among directors, which takes half a minute")
 
-// TestDivision measures and prints the second table of docs/overload.md: a load is divided among more and more directors, none
-// of which knows the load of the others.
-func TestDivision(t *testing.T) {
+// TestLoadDividedAmongDirectors measures and prints the second table of docs/overload.md. It divides a load among increasing
+// numbers of directors, none of which has information on the load of the others.
+func TestLoadDividedAmongDirectors(t *testing.T) {
 	if !*division {
 		t.Skip("only with -division")
 	}
@@ -26,7 +26,8 @@
 				servedWeight, requestedWeight := simulateDivision(t, loadFactor, directors, seed)
 				served, requested = served+servedWeight, requested+requestedWeight
 			}
-			fmt.Printf("%g times, %d directors: %.3f of the worth\n", loadFactor, directors, served/requested)
+			fmt.Printf("%g times the sustainable load, %d directors: %.3f of the priority weight met its objective\n", loadFactor, directors,
+				served/requested)
 		}
 	}
 }
--- a/internal/testing/scenario/plan.go
+++ b/internal/testing/scenario/plan.go
@@ -30,8 +30,8 @@
 clients: {retries: 1, after: 300ms}
 `
 
-// Load factors relative to the predicted breaking point, far enough from it that a busy machine does not change the
-// result: the goal must hold at the first and fail at the second.
+// Load factors relative to the predicted breaking point. The goal must hold at factorBelow and fail at factorAbove. Both are far
+// enough from the breaking point that a busy machine does not change the result. At factorColdReturn some caches restart empty.
 const (
 	factorBelow      = 0.75
 	factorAbove      = 1.35
@@ -39,14 +39,14 @@
 )
 
 const (
-	planGoal          = "all 95% in its aim"
-	planDemandLength  = 2 * time.Minute       // of the generated load that the planner uses
-	planWarmup        = 2 * time.Second       // of a run, before requests count
-	planMeasured      = 8 * time.Second       // of a run, while requests count
-	planParallelRuns  = 3                     // on sockets
-	maxEmulatorDelay  = 80 * time.Millisecond // of the measuring machine itself; the latency objectives are 500 ms
-	coldReturnShare   = 0.2                   // of the caches, which restart at the same time
-	coldReturnPlanned = 0.6                   // of the breaking point: the load for which the worst set of caches is chosen
+	planGoal                = "all 95% in its aim"
+	planDemandLength        = 2 * time.Minute       // length of the generated load that the planner uses
+	planWarmup              = 2 * time.Second       // start of each run on sockets, whose requests do not count
+	planMeasured            = 8 * time.Second       // part of each run on sockets whose requests count
+	planParallelRuns        = 3                     // runs on sockets at the same time
+	maxEmulatorDelay        = 80 * time.Millisecond // accepted lateness of the measuring machine itself; the latency objectives are 500 ms
+	coldReturnShare         = 0.2                   // share of the caches that restart at the same time
+	coldReturnPlannedFactor = 0.6                   // load, relative to the breaking point, for which the worst set of caches is determined
 )
 
 // runPlan captures a load, predicts where the goal breaks, and checks the prediction on sockets below and above that point.
@@ -60,8 +60,8 @@
 		return err
 	}
 	r.Figures["captured_rows"] = float64(len(captured.Rows))
-	// A capture of some seconds is too short to be replayed at several times its rate. So it is only checked against the load
-	// that was sent, and the planner uses a longer load from the same generator.
+	// A capture of a few seconds is too short to be replayed at several times its rate. It is therefore only checked against
+	// the load that was sent. The planner uses a longer load from the same generator.
 	load := plannedLoad{rate: captureRate, length: planDemandLength, goal: planGoal, warmup: planWarmup, measured: planMeasured}
 	planner, err := load.newPlanner(network, seed+1, seed)
 	if err != nil {
@@ -73,10 +73,10 @@
 	}
 	r.Figures["predicted"] = predicted.Factor
 	if predicted.AlwaysHolds || predicted.NeverHolds {
-		r.addViolation("no breaking point was predicted (%+v)", predicted)
+		r.addViolation("the planner predicted no breaking point: %+v", predicted)
 		return nil
 	}
-	coldReturn := planner.WorstRestart(coldReturnShare, predicted.Factor*coldReturnPlanned)
+	coldReturn := planner.WorstRestart(coldReturnShare, predicted.Factor*coldReturnPlannedFactor)
 	setup := func(factor float64, failure capacity.Failure) capacity.Setup {
 		return capacity.Setup{Factor: predicted.Factor * factor, Seed: seed, Warmup: planWarmup, Span: planMeasured, Failure: failure}
 	}
@@ -92,11 +92,12 @@
 	rate     float64       // requests a second
 	length   time.Duration // of the load
 	goal     string
-	warmup   time.Duration // of each simulated run, before requests count
-	measured time.Duration // of each simulated run, while requests count
+	warmup   time.Duration // start of each simulated run, whose requests do not count
+	measured time.Duration // part of each simulated run whose requests count
 }
 
-// newPlanner generates the load and returns a planner for it. The load and the simulated runs have a seed each.
+// newPlanner generates the load and returns a planner for it. loadSeed is the seed of the load, runSeed that of
+// the simulated runs.
 func (l *plannedLoad) newPlanner(network *topology.Topology, loadSeed, runSeed uint64) (*capacity.Planner, error) {
 	requests, err := emulator.GenerateRequests(network, l.rate, l.length, loadSeed)
 	if err != nil {
@@ -119,7 +120,7 @@
 }
 
 // measurePlan runs the setups on real sockets. It checks that the goal holds below the breaking point and fails above it, and
-// that no machine fails under a cold return.
+// that no machine fails when a share of the caches restarts empty.
 func measurePlan(planner *capacity.Planner, r *Report, setups planSetups) error {
 	runner := &emulator.Runner{Parallel: planParallelRuns, MaxLateness: maxEmulatorDelay}
 	results, err := runner.Run(planner.Fleet, planner.Demand, []capacity.Setup{setups.below, setups.above, setups.coldReturn})
@@ -134,13 +135,13 @@
 	r.Figures["late_ms"] = float64(runner.Lateness.Microseconds()) / 1000
 	wantedShare := planner.Goal.WantedShare()
 	if below < wantedShare {
-		r.addViolation("at %.2f of the predicted break the goal does not hold: %.3f", factorBelow, below)
+		r.addViolation("at %.2f times the predicted breaking point the goal fails: served share %.3f", factorBelow, below)
 	}
 	if above >= wantedShare {
-		r.addViolation("at %.2f of the predicted break the goal holds: %.3f", factorAbove, above)
+		r.addViolation("at %.2f times the predicted breaking point the goal still holds: served share %.3f", factorAbove, above)
 	}
 	if coldReturn.MachineFailures > 0 {
-		r.addViolation("rule 4: %d machines fell over as a fifth came back cold", coldReturn.MachineFailures)
+		r.addViolation("rule 4: %d machines failed when a fifth of the caches restarted empty", coldReturn.MachineFailures)
 	}
 	r.Violations = append(r.Violations, runner.Violations...)
 	return nil
--- a/internal/testing/scenario/plan_capture.go
+++ b/internal/testing/scenario/plan_capture.go
@@ -20,11 +20,11 @@
 	captureLength = 7 * time.Second
 	captureWarmup = time.Second // before the drain and the purge
 
-	minCapturedPercent = 95 // of the requests sent, as some may end after the capture is closed
+	minCapturedPercent = 95 // accepted share of captured requests, as some may end after the capture is closed
 )
 
-// captureLoad has a real director capture a load while a machine is drained and an object is purged, and checks the
-// capture against the requests sent.
+// captureLoad captures a load in a real director while a machine is drained and an object is purged. It checks the capture
+// against the requests sent.
 func captureLoad(network *topology.Topology, seed uint64, r *Report) (*capture.Capture, error) {
 	requests, err := emulator.GenerateRequests(network, captureRate, captureLength, seed)
 	if err != nil {
@@ -79,19 +79,19 @@
 	return nil
 }
 
-// checkCapture checks that the capture has a row for each request sent, unless it was dropped, and that it yields a demand of
-// about as many requests.
+// checkCapture checks that each request sent has a row in the capture or was dropped by its writer, and that the demand from the
+// capture has about as many requests as were sent.
 func checkCapture(network *topology.Topology, captured *capture.Capture, dropped, sent int, r *Report) {
 	if len(captured.Rows)+dropped < sent {
-		r.addViolation("the capture tells of %d reqs and %d dropped, of %d", len(captured.Rows), dropped, sent)
+		r.addViolation("the capture has %d requests and dropped %d, want %d in total", len(captured.Rows), dropped, sent)
 	}
 	demand, err := capacity.DemandFromCapture(network, captured)
 	if err != nil {
-		r.addViolation("the capture gives no demand: %v", err)
+		r.addViolation("the capture cannot be converted to a demand: %v", err)
 		return
 	}
 	if n := len(demand.Requests); n < sent*minCapturedPercent/100 || n > sent {
-		r.addViolation("the capture's demand is %d reqs, of %d", n, sent)
+		r.addViolation("the demand from the capture has %d requests, want about the %d that were sent", n, sent)
 	}
 }
 
--- a/internal/testing/scenario/scale.go
+++ b/internal/testing/scenario/scale.go
@@ -52,8 +52,8 @@
 
 // cpuTime is the processor time of a process.
 type cpuTime struct {
-	current time.Duration // of its present incarnation
-	total   time.Duration // of all its incarnations
+	current time.Duration // of the present incarnation of the process
+	total   time.Duration // of all incarnations so far
 }
 
 // runScale runs the scenario with the given sizes.
@@ -77,7 +77,7 @@
 	r.Figures["large_note_period_s"] = s.timing.largeEventPeriod.Seconds()
 	r.Figures["took_s"] = s.cluster.Now().Seconds()
 	if s.cluster.Now() > maxRunTime {
-		r.addViolation("the play took %v, where %v are the most", s.cluster.Now(), maxRunTime)
+		r.addViolation("the run took %v, want at most %v", s.cluster.Now(), maxRunTime)
 	}
 	r.Record = append(append(r.Record, figureNotes...), s.record...)
 	if len(r.Violations) > 0 {
@@ -88,14 +88,14 @@
 
 // figureNotes explain some figures of the report to its readers.
 var figureNotes = []string{
-	"director_core_percent: processor time of the process of all hollow directors, its checker among it, by their number",
-	"director_bytes_per_s: what hollow directors read and write for control, frames alone; with headers: those of TCP and IPv4 " +
-		"added, as the system counted segments while all was quiet",
-	"director_memory_mb: of the process of hollow directors, by their number; real_director_memory_mb: of a whole process that " +
-		"serves clients",
-	"worst_window: the worst ten seconds, or all of a shorter play",
-	"note_beside_faults: the largest of all phases with a fault; what was published before a region was joined again counts " +
-		"from there, as catch_up_s",
+	"director_core_percent: processor time of the process that runs all hollow directors and their checker, divided by their number",
+	"director_bytes_per_s: bytes of frames that a hollow director reads and writes for control traffic; with headers: with those of " +
+		"TCP and IPv4, estimated from the segments that the system counted in the quiet phase",
+	"director_memory_mb: memory of the process of hollow directors, divided by their number; real_director_memory_mb: memory of a " +
+		"complete process that serves clients",
+	"worst_window: the worst ten seconds, or the complete run if it is shorter",
+	"note_beside_faults: the largest value of all phases with a fault; events published before a region was joined again are " +
+		"measured from that moment, as catch_up_s",
 }
 
 // startScale starts control machines, real directors and hollow directors, and waits until all directors have their links.
@@ -157,7 +157,7 @@
 	return err
 }
 
-// run sends the load of clients, injects the faults and collects what was measured. An error means that this was not possible.
+// run sends the load of clients, injects the faults and collects the measurements. An error means that this was not possible.
 func (s *scaleRun) run() error {
 	load, err := s.newLoad()
 	if err != nil {
@@ -196,7 +196,7 @@
 	return s.cluster.Emulator.NewLoad(requests, 0, maxRunTime), nil
 }
 
-// startBackground sends the load and takes samples until stop is called. The function stop waits until both have ended.
+// startBackground sends the load and takes samples until the returned function is called, which waits until both have ended.
 func (s *scaleRun) startBackground(load *emulator.Load) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	s.background.Go(func() {
@@ -211,7 +211,7 @@
 	})
 }
 
-// measureQuiet measures the phase before the first fault, and how many bytes headers add to those of frames during it.
+// measureQuiet measures the phase before the first fault, and the bytes of headers relative to those of frames during it.
 func (s *scaleRun) measureQuiet() error {
 	from, err := hollow.ReadUsage(s.hollow.PID())
 	if err != nil {
@@ -230,7 +230,7 @@
 }
 
 // injectFaults injects each fault once, in random order, and waits after each until the cluster has settled. A cluster that
-// does not settle is a violation and not an error, as the scenario is there to find it.
+// does not settle is a violation and not an error, as the scenario exists to detect it.
 func (s *scaleRun) injectFaults() error {
 	faults := []func() error{s.killLeader, s.cutOffRegion, s.dropAllLinks, s.pauseControl}
 	s.random.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
@@ -250,7 +250,7 @@
 	s.result.Violations = append(s.result.Violations, err.Error())
 }
 
-// beginPhase begins another phase of the run. Its latencies are measured apart from those of other phases.
+// beginPhase begins another phase of the run. Latencies are measured separately for each phase.
 func (s *scaleRun) beginPhase(p phase, name string) {
 	if err := s.hollow.BeginWindow(name); err != nil {
 		s.addViolation(err)
@@ -264,7 +264,7 @@
 // awaitSettled waits until every job has exactly one owner and has run again, and every director has two links.
 func (s *scaleRun) awaitSettled(when string) error {
 	from := s.cluster.Now()
-	condition := "every duty owned by one and every director with two links " + when
+	condition := "every job has one owner and every director has two links " + when
 	_, err := s.cluster.Await(condition, maxTakeover+settleAllowance, func() bool {
 		jobs, _, unique := countOwners(s.cluster)
 		return unique && jobs == scaleJobs && s.cluster.Counter.AllRanSince(callJobNames(), from) && s.allLinked()
--- a/internal/testing/scenario/scale_check.go
+++ b/internal/testing/scenario/scale_check.go
@@ -16,7 +16,7 @@
 	maxTakeoverSeconds = 10  // from the leader's kill until every job runs again
 )
 
-// maxListed is how many violations of one kind are listed one by one.
+// maxListed is the largest number of violations of one kind that are listed individually.
 const maxListed = 8
 
 // check adds figures to the report, and violations of the guarantees and budgets.
@@ -26,11 +26,11 @@
 	r.Figures["hollow_directors"] = float64(p.HollowDirectors)
 	for _, fault := range p.Faults {
 		if fault.Evidence == "" {
-			r.addViolation("%s at %.1f s: nothing shows that it took place", fault.Name, fault.From.Seconds())
+			r.addViolation("%s at %.1f s: no evidence that the fault took effect", fault.Name, fault.From.Seconds())
 		}
 	}
 	if len(p.Faults) == 0 {
-		r.addViolation("no fault was played")
+		r.addViolation("no fault was injected")
 	}
 	p.checkJobs(r)
 	p.checkEvents(r)
@@ -39,7 +39,7 @@
 	r.Figures["client_reqs"] = float64(p.ClientRequests)
 	r.Figures["client_reqs_met"] = float64(p.ClientRequestsMet)
 	if p.ClientRequestsMet == 0 {
-		r.addViolation("real directors answered no client")
+		r.addViolation("real directors served no request within its latency objective")
 	}
 	for _, violation := range p.Violations {
 		r.addViolation("%s", violation)
@@ -60,7 +60,7 @@
 	for _, name := range callJobNames() {
 		total += starts[name]
 		if starts[name] == 0 {
-			r.addViolation("%s never ran", name)
+			r.addViolation("job %s never ran", name)
 		}
 	}
 	r.Figures["runs"] = float64(total)
@@ -79,15 +79,15 @@
 	r.Figures["notes_published"] = float64(p.Missing.Events + p.LostWithLeader.Events)
 	r.Figures["notes_taken"] = float64(p.Accepted.Accepted)
 	if p.Missing.Events == 0 {
-		r.addViolation("no small note was published that all should have")
+		r.addViolation("no event was published that all directors should have accepted")
 	}
 	r.addBudgeted("notes_doubled", float64(p.Accepted.Duplicates+p.Accepted.OutOfOrder), 0, "notes")
-	// Stale events include those of a former owner of a job that was cut off and is joined again: they come under a lower
-	// fencing token than those of the new owner.
+	// Stale events include those of a former owner of a job that was cut off and has rejoined. Their fencing token is lower than
+	// that of the new owner's events.
 	r.addBudgeted("notes_stale", float64(p.Accepted.Stale), 0, "notes")
 	r.addBudgeted("notes_unread", float64(p.Accepted.Unreadable), 0, "notes")
-	r.addBudgeted("notes_missed", float64(p.Missing.Pairs), 0, "times that a director lacks a note")
-	r.addBudgeted("directors_behind", float64(p.Missing.Behind), 0, "times that a director lacks the newest of a key")
+	r.addBudgeted("notes_missed", float64(p.Missing.Pairs), 0, "pairs of a director and an event that it lacks")
+	r.addBudgeted("directors_behind", float64(p.Missing.Behind), 0, "pairs of a director and a key whose newest event it lacks")
 	r.Figures["notes_gone_with_a_killed_machine"] = float64(p.LostWithLeader.Incomplete)
 	p.listMissing(r)
 	p.checkRealDirectors(r)
@@ -97,16 +97,16 @@
 func (p *scaleResult) listMissing(r *Report) {
 	for i, event := range p.Missing.List {
 		if i == maxListed {
-			r.addViolation("and more")
+			r.addViolation("more missing events are not listed")
 			break
 		}
-		r.addViolation("%s lacks run %d of %s under %d", event.Director, event.Run, event.Key, event.FencingToken)
+		r.addViolation("%s lacks run %d of %s with fencing token %d", event.Director, event.Run, event.Key, event.FencingToken)
 	}
 	for _, name := range p.Missing.WithoutEvents {
-		r.addViolation("%s took no note at all", name)
+		r.addViolation("%s accepted no events", name)
 	}
 	if n := p.Missing.Unchecked; n > 0 {
-		r.addViolation("%d notes could not be checked", n)
+		r.addViolation("%d events could not be checked", n)
 	}
 }
 
@@ -118,7 +118,7 @@
 		duplicates += counts.Duplicates
 		lost += counts.Lost
 		if counts.Accepted == 0 {
-			r.addViolation("%s, a process of its own, took no note at all", name)
+			r.addViolation("%s, a real director, accepted no events", name)
 		}
 	}
 	r.Figures["real_notes_refused_as_doubled"] = float64(duplicates)
@@ -143,7 +143,7 @@
 		if phase.Healed {
 			catchUp = max(phase.EarlierFor*secondsPerMillisecond, 0)
 		} else if slowest > maxEventSeconds {
-			r.addViolation("phase %s: a note took %.2f s", phase.Name, slowest)
+			r.addViolation("phase %s: an event took %.2f s", phase.Name, slowest)
 		}
 	}
 	reportWindow(r, "note_quiet", &quiet)
@@ -165,7 +165,7 @@
 // reportWindow adds the figures of merged latencies to the report, under names that begin with the given name.
 func reportWindow(r *Report, name string, merged *hollow.WindowReport) {
 	if merged.Count == 0 {
-		r.addViolation("%s: no note's time was measured", name)
+		r.addViolation("%s: no latency was measured", name)
 		return
 	}
 	r.Figures[name+"_p50_s"] = merged.P50 * secondsPerMillisecond
--- a/internal/testing/scenario/scale_check_test.go
+++ b/internal/testing/scenario/scale_check_test.go
@@ -23,7 +23,7 @@
 		Missing:         hollow.Missing{Events: 100},
 		RealDirectors:   map[string]eventCounts{"d0": {Accepted: 100}},
 		Faults: []faultRecord{
-			{Name: "keeper killed", From: 1, Until: 2, Evidence: "c0 ended"},
+			{Name: "leader killed", From: 1, Until: 2, Evidence: "c0 ended"},
 			{Name: "region r1 cut off", From: 3, Until: 4, Evidence: "all lag"},
 		},
 		Takeover:          2 * time.Second,
@@ -57,7 +57,7 @@
 			Quiet:        true,
 		},
 		{
-			WindowReport: hollow.WindowReport{Name: "keeper killed", Count: 20, P50: 1, P99: 300, Max: 900, EarlierMax: 800},
+			WindowReport: hollow.WindowReport{Name: "leader killed", Count: 20, P50: 1, P99: 300, Max: 900, EarlierMax: 800},
 		},
 		{
 			WindowReport: hollow.WindowReport{Name: "joined again", Count: 20, P50: 1, P99: 300, Max: 900, EarlierMax: 12_000, EarlierFor: 700},
@@ -74,57 +74,57 @@
 	return r
 }
 
-// invalidResults are changes to a valid result, each with the violations that it must lead to.
+// invalidResults are changes to a valid result, each with the violations that it must cause.
 var invalidResults = []struct {
 	name   string
 	change func(p *scaleResult)
 	want   string // parts of the violations, separated by |
 }{
-	{"a double", func(p *scaleResult) { p.Accepted.Duplicates++ }, "notes_doubled: 1 "},
-	{"a number out of order", func(p *scaleResult) { p.Accepted.OutOfOrder++ }, "notes_doubled: 1 "},
-	{"a stale note", func(p *scaleResult) { p.Accepted.Stale = 1 }, "notes_stale: 1 "},
-	{"stale notes of old owners", func(p *scaleResult) { p.Accepted.Stale, p.Accepted.StaleAcrossOrigins = 3, 3 }, "notes_stale: 3 "},
-	{"a note that cannot be read", func(p *scaleResult) { p.Accepted.Unreadable++ }, "notes_unread: 1 "},
-	{"a miss", func(p *scaleResult) {
+	{"duplicate event", func(p *scaleResult) { p.Accepted.Duplicates++ }, "notes_doubled: 1 "},
+	{"event out of order", func(p *scaleResult) { p.Accepted.OutOfOrder++ }, "notes_doubled: 1 "},
+	{"stale event", func(p *scaleResult) { p.Accepted.Stale = 1 }, "notes_stale: 1 "},
+	{"stale events of former owners", func(p *scaleResult) { p.Accepted.Stale, p.Accepted.StaleAcrossOrigins = 3, 3 }, "notes_stale: 3 "},
+	{"unreadable event", func(p *scaleResult) { p.Accepted.Unreadable++ }, "notes_unread: 1 "},
+	{"missing event", func(p *scaleResult) {
 		p.Missing.Pairs, p.Missing.List = 1, []hollow.MissingEvent{{Director: "d7", Key: "note/small", FencingToken: 3, Run: 9}}
-	}, "notes_missed: 1 |d7 lacks run 9 of note/small under 3"},
-	{"many misses", func(p *scaleResult) {
+	}, "notes_missed: 1 |d7 lacks run 9 of note/small with fencing token 3"},
+	{"many missing events", func(p *scaleResult) {
 		p.Missing.Pairs, p.Missing.List = 20, make([]hollow.MissingEvent, 20)
-	}, "notes_missed: 20 " + strings.Repeat("| lacks run 0 of  under 0", maxListed) + "|and more"},
-	{"an old state", func(p *scaleResult) { p.Missing.Behind = 2 }, "directors_behind: 2 "},
-	{"a director without any", func(p *scaleResult) { p.Missing.WithoutEvents = []string{"d9"} }, "d9 took no note"},
-	{"no note at all", func(p *scaleResult) { p.Missing.Events = 0 }, "no small note was published"},
-	{"notes that were not checked", func(p *scaleResult) { p.Missing.Unchecked = 4 }, "4 notes could not be checked"},
-	{"a real director without any", func(p *scaleResult) { p.RealDirectors["d0"] = eventCounts{} }, "d0, a process of its own, took no note"},
-	{"a real director's loss", func(p *scaleResult) { p.RealDirectors["d0"] = eventCounts{Accepted: 5, Lost: 1} }, "real_notes_lost_for_good: 1 "},
-	{"an overlap", func(p *scaleResult) { p.Overlaps = 1 }, "overlaps: 1 "},
-	{"an effect by an old number", func(p *scaleResult) { p.Calls[len(p.Calls)-1].Rejected = false }, "effects_by_old_numbers: 1 "},
-	{"a duty that never ran", func(p *scaleResult) { p.Calls = p.Calls[4:] }, "call0 never ran"},
-	{"duties that were taken over late", func(p *scaleResult) { p.Takeover = 11 * time.Second }, "takeover_s: 11 "},
-	{"duties that were not taken over", func(p *scaleResult) { p.Takeover = -1 }, "takeover_s was not measured"},
-	{"a late note, all quiet", func(p *scaleResult) { p.Phases[0].Max = 1800 },
-		"note_quiet_worst_s: 1.8 |phase quiet: a note took 1.80 s"},
-	{"one late note in fifty", func(p *scaleResult) { p.Phases[0].P99 = 1800 }, "note_quiet_p99_s: 1.8 "},
-	{"a late note beside a fault", func(p *scaleResult) { p.Phases[1].Max = 1750 },
-		"note_beside_faults_worst_s: 1.75 |phase keeper killed: a note took 1.75 s"},
-	{"one that came in the next phase", func(p *scaleResult) { p.Phases[1].EarlierMax = 2000 },
-		"note_beside_faults_worst_s: 2 |phase keeper killed: a note took 2.00 s"},
-	{"a region that catches up late", func(p *scaleResult) { p.Phases[2].EarlierFor = 1900 }, "catch_up_s: 1.9 "},
-	{"no healing", func(p *scaleResult) { p.Phases = p.Phases[:2] }, "catch_up_s was not measured"},
-	{"no times of quiet", func(p *scaleResult) { p.Phases[0].Count = 0 }, "note_quiet: no note's time was measured"},
-	{"a fault that did not take place", func(p *scaleResult) { p.Faults[1].Evidence = "" },
-		"region r1 cut off at 0.0 s: nothing shows that it took place"},
-	{"no fault", func(p *scaleResult) { p.Faults = nil }, "no fault was played"},
-	{"a rule of serving clients", func(p *scaleResult) { p.Violations = []string{"rule 1: broken"} }, "rule 1: broken"},
-	{"no clients", func(p *scaleResult) { p.ClientRequestsMet = 0 }, "answered no client"},
-	{"memory", func(p *scaleResult) { p.RealMemory["d1"] = 70e6 }, "real_director_memory_mb: 70 "},
-	{"memory of hollow ones", func(p *scaleResult) { p.HollowMemory = 55 * 65e6 }, "director_memory_mb: 65 "},
-	{"one director's bytes", func(p *scaleResult) {
+	}, "notes_missed: 20 " + strings.Repeat("| lacks run 0 of  with fencing token 0", maxListed) + "|more missing events are not listed"},
+	{"missing newest event", func(p *scaleResult) { p.Missing.Behind = 2 }, "directors_behind: 2 "},
+	{"director without events", func(p *scaleResult) { p.Missing.WithoutEvents = []string{"d9"} }, "d9 accepted no events"},
+	{"no event published", func(p *scaleResult) { p.Missing.Events = 0 }, "no event was published"},
+	{"unchecked events", func(p *scaleResult) { p.Missing.Unchecked = 4 }, "4 events could not be checked"},
+	{"real director without events", func(p *scaleResult) { p.RealDirectors["d0"] = eventCounts{} }, "d0, a real director, accepted no events"},
+	{"event lost by a real director", func(p *scaleResult) { p.RealDirectors["d0"] = eventCounts{Accepted: 5, Lost: 1} }, "real_notes_lost_for_good: 1 "},
+	{"overlapping runs", func(p *scaleResult) { p.Overlaps = 1 }, "overlaps: 1 "},
+	{"accepted call with a stale token", func(p *scaleResult) { p.Calls[len(p.Calls)-1].Rejected = false }, "effects_by_old_numbers: 1 "},
+	{"job that never ran", func(p *scaleResult) { p.Calls = p.Calls[4:] }, "job call0 never ran"},
+	{"late takeover", func(p *scaleResult) { p.Takeover = 11 * time.Second }, "takeover_s: 11 "},
+	{"no takeover", func(p *scaleResult) { p.Takeover = -1 }, "takeover_s was not measured"},
+	{"late event in the quiet phase", func(p *scaleResult) { p.Phases[0].Max = 1800 },
+		"note_quiet_worst_s: 1.8 |phase quiet: an event took 1.80 s"},
+	{"late 99th percentile in the quiet phase", func(p *scaleResult) { p.Phases[0].P99 = 1800 }, "note_quiet_p99_s: 1.8 "},
+	{"late event during a fault", func(p *scaleResult) { p.Phases[1].Max = 1750 },
+		"note_beside_faults_worst_s: 1.75 |phase leader killed: an event took 1.75 s"},
+	{"late event published before the phase", func(p *scaleResult) { p.Phases[1].EarlierMax = 2000 },
+		"note_beside_faults_worst_s: 2 |phase leader killed: an event took 2.00 s"},
+	{"region that catches up late", func(p *scaleResult) { p.Phases[2].EarlierFor = 1900 }, "catch_up_s: 1.9 "},
+	{"no healed phase", func(p *scaleResult) { p.Phases = p.Phases[:2] }, "catch_up_s was not measured"},
+	{"no latencies in the quiet phase", func(p *scaleResult) { p.Phases[0].Count = 0 }, "note_quiet: no latency was measured"},
+	{"fault without evidence", func(p *scaleResult) { p.Faults[1].Evidence = "" },
+		"region r1 cut off at 0.0 s: no evidence that the fault took effect"},
+	{"no fault", func(p *scaleResult) { p.Faults = nil }, "no fault was injected"},
+	{"violated protocol rule", func(p *scaleResult) { p.Violations = []string{"rule 1: broken"} }, "rule 1: broken"},
+	{"no client requests served", func(p *scaleResult) { p.ClientRequestsMet = 0 }, "served no request within its latency objective"},
+	{"memory of a real director", func(p *scaleResult) { p.RealMemory["d1"] = 70e6 }, "real_director_memory_mb: 70 "},
+	{"memory of hollow directors", func(p *scaleResult) { p.HollowMemory = 55 * 65e6 }, "director_memory_mb: 65 "},
+	{"bytes of one director", func(p *scaleResult) {
 		for i := range p.Samples[:10] {
 			p.Samples[i].LargestBytes = 20_000
 		}
 	}, "one_director_bytes_per_s_worst_window: 2e+04 "},
-	{"bytes for ten seconds", func(p *scaleResult) {
+	{"bytes in the worst window", func(p *scaleResult) {
 		for i := range p.Samples[15:25] {
 			p.Samples[15+i].Bytes = 55 * 20_000
 		}
@@ -134,19 +134,19 @@
 			p.Samples[i].CPU = time.Second
 		}
 	}, "director_core_percent_quiet: 1.818 |director_core_percent: 1.818 |director_core_percent_worst_window: 1.818 "},
-	{"headers that were not measured", func(p *scaleResult) { p.HeaderShare = math.NaN() },
+	{"unmeasured headers", func(p *scaleResult) { p.HeaderShare = math.NaN() },
 		"with_headers_per_s_quiet was not|with_headers_per_s was not measured|with_headers_per_s_worst_window was not"},
 }
 
 // A valid result has no violations.
-func TestCheckOfAValidResult(t *testing.T) {
+func TestCheckAcceptsValidResult(t *testing.T) {
 	if r := reportOf(validResult()); len(r.Violations) > 0 {
 		t.Errorf("violations %q, want none", r.Violations)
 	}
 }
 
-// Each fault of a result leads to its violations, and to no other.
-func TestCheckFindsEachFault(t *testing.T) {
+// Each invalid result leads to its violations, and to no others.
+func TestCheckReportsEachViolation(t *testing.T) {
 	for _, test := range invalidResults {
 		t.Run(test.name, func(t *testing.T) {
 			result := validResult()
@@ -166,7 +166,7 @@
 }
 
 // The report has every figure and its budget. The worst window is the worst ten seconds.
-func TestFiguresOfAReport(t *testing.T) {
+func TestReportHasFiguresAndBudgets(t *testing.T) {
 	result := validResult()
 	for i := range 5 {
 		result.Samples[20+i].Bytes = 55 * 10_000
@@ -196,7 +196,7 @@
 }
 
 // In a run of less than ten seconds the worst window is the complete run.
-func TestWorstWindowOfAShortRun(t *testing.T) {
+func TestWorstWindowOfShortRun(t *testing.T) {
 	short := validResult()
 	short.Samples = short.Samples[:4]
 	short.Samples[3].Bytes, short.Samples[3].Quiet = 55*6000, false
@@ -225,7 +225,7 @@
 	t.Helper()
 	for name, value := range r.Figures {
 		if math.IsNaN(value) || math.IsInf(value, 0) {
-			t.Errorf("%s is %v, which JSON cannot represent", name, value)
+			t.Errorf("%s is %v, want a finite value, as JSON represents no other", name, value)
 		}
 	}
 }
--- a/internal/testing/scenario/scale_collect.go
+++ b/internal/testing/scenario/scale_collect.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// An event may have reached only some directors when the machine that published it is killed. So the events that a machine
-	// published in this time before it was killed are counted apart.
-	mayBeLostBefore = 300 * time.Millisecond
+	// An event may have reached only some directors when the machine that published it is killed. The events that a machine
+	// published within this time before it was killed are therefore counted separately.
+	lossWindow = 300 * time.Millisecond
 
-	lastEventAllowance = 3 * time.Second // for the newest event of a key, which may be on its way at any moment
-	collectedDirectors = 8               // whose violations are listed in the record
+	lastEventAllowance = 3 * time.Second // until the newest event of a key, which may still be on its way, has arrived
+	collectedDirectors = 8               // number of directors whose violations are listed in the record
 )
 
 // collect completes the result with everything that is not sampled during the run.
@@ -32,7 +32,7 @@
 		return err
 	}
 	if len(report.Windows) != len(s.phases)+1 {
-		return fmt.Errorf("%d windows of latencies where %d were begun", len(report.Windows), len(s.phases)+1)
+		return fmt.Errorf("%d latency windows are reported, want %d", len(report.Windows), len(s.phases)+1)
 	}
 	for i, window := range report.Windows[1:] {
 		s.phases[i].WindowReport = window
@@ -48,13 +48,14 @@
 	return nil
 }
 
-// collectMissing waits until all events published so far must have been accepted, and collects those that are missing then.
+// collectMissing waits until every director must have accepted all events published so far, and collects those that are missing
+// then.
 func (s *scaleRun) collectMissing() error {
 	published := time.Now()
 	time.Sleep(time.Duration(maxEventSeconds * float64(time.Second)))
 	var missing *hollow.Missing
 	var err error
-	s.cluster.Await("nothing missed", lastEventAllowance, func() bool {
+	s.cluster.Await("no missing events", lastEventAllowance, func() bool {
 		missing, err = s.missingUntil(published)
 		return err != nil || missing.Pairs == 0 && missing.Behind == 0
 	})
@@ -65,13 +66,13 @@
 	return nil
 }
 
-// missingUntil compares the events that directors accepted with those published until a time. The last events of the killed
-// leader may be lost with it: they are counted apart, in LostWithLeader.
+// missingUntil compares the events that directors accepted with those published until a time. The last events of a killed
+// leader may be lost with it. They are counted separately, in LostWithLeader.
 func (s *scaleRun) missingUntil(until time.Time) (*hollow.Missing, error) {
 	if s.leaderKilledAt.IsZero() {
 		return s.hollow.Missing(hollow.TimeRange{Until: until.UnixNano()})
 	}
-	from, killed := s.leaderKilledAt.Add(-mayBeLostBefore).UnixNano(), s.leaderKilledAt.UnixNano()
+	from, killed := s.leaderKilledAt.Add(-lossWindow).UnixNano(), s.leaderKilledAt.UnixNano()
 	before, err := s.hollow.Missing(hollow.TimeRange{Until: from})
 	if err != nil {
 		return nil, err
@@ -113,15 +114,15 @@
 func (s *scaleRun) followerStatus(p *testcluster.Process) (*cluster.FollowerStatus, error) {
 	var status *cluster.Status
 	var err error
-	s.cluster.Await("an answer of "+p.Name, maxTakeover, func() bool {
+	s.cluster.Await("a status response of "+p.Name, maxTakeover, func() bool {
 		status, err = p.Status()
 		return err == nil
 	})
 	if err == nil && status.Follower == nil {
-		err = errors.New("it follows nobody")
+		err = errors.New("the status has no part about following control machines")
 	}
 	if err != nil {
-		return nil, fmt.Errorf("asking %s: %w", p.Name, err)
+		return nil, fmt.Errorf("status of %s: %w", p.Name, err)
 	}
 	return status.Follower, nil
 }
@@ -132,22 +133,22 @@
 	defer s.mu.Unlock()
 	for _, m := range s.layout.control {
 		usage := s.result.Control[m.name]
-		usage.Accepts = float64(mostInSecond(s.answeredAfter(time.Time{}, "r*>"+m.name)))
+		usage.Accepts = float64(maxInOneSecond(s.firstResponsesAfter(time.Time{}, "r*>"+m.name)))
 		s.result.Control[m.name] = usage
 	}
 }
 
-// mostInSecond returns the largest number of the times that lie within one second. It sorts the times.
-func mostInSecond(times []time.Time) (most int) {
+// maxInOneSecond returns how many of the times at most lie within the same second-long interval. It sorts the times.
+func maxInOneSecond(times []time.Time) (largest int) {
 	slices.SortFunc(times, time.Time.Compare)
 	first := 0
 	for last, at := range times {
 		for at.Sub(times[first]) >= time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		largest = max(largest, last-first+1)
 	}
-	return most
+	return largest
 }
 
 // recordRun adds the faults, the phases and the violations that directors observed to the record.
@@ -156,13 +157,13 @@
 		s.record = append(s.record, fault.String())
 	}
 	for _, p := range s.phases {
-		s.record = append(s.record, fmt.Sprintf("phase %s: %d notes taken, p50 %.0f ms, p99 %.0f ms, worst %.0f ms; of "+
-			"earlier ones %d, the oldest %.0f ms, the last %.0f ms after it began", p.Name, p.Count, p.P50, p.P99, p.Max,
+		s.record = append(s.record, fmt.Sprintf("phase %s: %d events accepted, p50 %.0f ms, p99 %.0f ms, max %.0f ms; "+
+			"%d published before the phase, max %.0f ms, the last accepted %.0f ms after it began", p.Name, p.Count, p.P50, p.P99, p.Max,
 			p.Earlier, p.EarlierMax, p.EarlierFor))
 	}
 	for _, director := range report.List {
 		for _, violation := range director.Violations {
-			s.record = append(s.record, "taken by "+director.Name+": "+violation)
+			s.record = append(s.record, "accepted by "+director.Name+": "+violation)
 		}
 	}
 }
--- a/internal/testing/scenario/scale_config.go
+++ b/internal/testing/scenario/scale_config.go
@@ -46,8 +46,8 @@
 	layout            *layout
 	largeEventPeriod  time.Duration
 	counter           string                       // address that call jobs use
-	controlAddress    func(control machine) string // returns where the reader of the file dials a control machine
-	directorAddresses map[string]string            // of the directors whose status can be queried, by name
+	controlAddress    func(control machine) string // returns the address at which readers of the file dial a control machine
+	directorAddresses map[string]string            // addresses of the directors whose status can be queried, by name
 }
 
 // String returns the text of the file.
@@ -60,8 +60,8 @@
 	text.WriteString("directors:\n")
 	for _, m := range c.layout.directors {
 		address := ""
-		if known, ok := c.directorAddresses[m.name]; ok {
-			address = fmt.Sprintf("address: %q, ", known)
+		if peerAddress, ok := c.directorAddresses[m.name]; ok {
+			address = fmt.Sprintf("address: %q, ", peerAddress)
 		}
 		fmt.Fprintf(&text, "  - {name: %s, %s%v}\n", m.name, address, m.location)
 	}
@@ -109,7 +109,7 @@
 			return w.forRegion(m.location.region)
 		}
 	}
-	return "", fmt.Errorf("%s is no machine of the rehearsal", p.Name)
+	return "", fmt.Errorf("%s is not a machine of the scenario", p.Name)
 }
 
 // forControl returns the file of a control machine. It dials the control machines of its own region directly, and all others
@@ -130,9 +130,9 @@
 	})
 }
 
-// write returns a file in which each control machine has the address that dialAddress returns. Its arguments are the control
+// write returns a file in which each control machine has the address that dialAddress returns. dialAddress receives the control
 // machine and the address at which that machine listens.
-func (w *configWriter) write(counter string, dialAddress func(to machine, listens string) (string, error)) (string, error) {
+func (w *configWriter) write(counter string, dialAddress func(to machine, listenAddress string) (string, error)) (string, error) {
 	control, directors := w.listenAddresses()
 	var lastErr error
 	text := clusterConfigText{
--- a/internal/testing/scenario/scale_diagnostics.go
+++ b/internal/testing/scenario/scale_diagnostics.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxLogLines      = 30 // the last ones of each process
-	maxListedLagging = 5
-	maxListedHollow  = 5
+	maxLogLines      = 30 // last lines of the log of each process
+	maxListedLagging = 5  // positions in which directors lag
+	maxListedHollow  = 5  // hollow directors
 )
 
 // diagnostics returns the events of the cluster, the state of all processes, and the last lines of their logs.
@@ -34,7 +34,7 @@
 // hollowState returns the state of the hollow directors. A query that they do not answer is left out.
 func (s *scaleRun) hollowState() (lines []string) {
 	if report, err := s.hollow.Report(maxListedHollow); err == nil {
-		lines = append(lines, fmt.Sprintf("hollow directors by links up %v, by control machine %v, %+v, longest without a link %.0f ms",
+		lines = append(lines, fmt.Sprintf("hollow directors by links up %v, by control machine %v, readers %+v, longest time without a link %.0f ms",
 			report.NodesByLinks, report.DirectorsByUplink, report.Reader, report.LongestUnlinked))
 		for i := range report.List {
 			lines = append(lines, nodeState(&report.List[i]))
@@ -42,18 +42,18 @@
 	}
 	if vectors, err := s.hollow.Vectors(); err == nil {
 		listed := vectors.List[:min(len(vectors.List), maxListedLagging)]
-		lines = append(lines, fmt.Sprintf("positions: %d directors lag, %v", vectors.Lagging, listed))
+		lines = append(lines, fmt.Sprintf("positions: %d directors lag, the first %v", vectors.Lagging, listed))
 	}
 	return lines
 }
 
-// nodeState returns the state of a hollow director as text. The labels are those of earlier reports, which operators know.
+// nodeState returns the state of a hollow director as text.
 func nodeState(n *hollow.NodeReport) string {
-	tally := fmt.Sprintf("{Taken:%d Doubled:%d Stale:%d Crossed:%d Disordered:%d Unread:%d}", n.Accepted, n.Duplicates, n.Stale,
+	tally := fmt.Sprintf("{Accepted:%d Duplicates:%d Stale:%d StaleAcrossOrigins:%d OutOfOrder:%d Unreadable:%d}", n.Accepted, n.Duplicates, n.Stale,
 		n.StaleAcrossOrigins, n.OutOfOrder, n.Unreadable)
-	links := fmt.Sprintf("Links:%d Active:%s Received:%d Written:%d Longest:%v", n.Links, n.ActiveUplink, n.Received, n.Written,
+	links := fmt.Sprintf("Links:%d ActiveUplink:%s Received:%d Written:%d LongestUnlinked:%v", n.Links, n.ActiveUplink, n.Received, n.Written,
 		n.LongestUnlinked)
-	return fmt.Sprintf("{Name:%s Role:%s Tally:%s Stream:%+v %s Told:%d Silent:%d Looks:%d Faults:%v}", n.Name, n.Role, tally, n.Reader,
+	return fmt.Sprintf("{Name:%s Role:%s Tally:%s Reader:%+v %s HealthReports:%d UnresponsiveReports:%d HealthChecks:%d Violations:%v}", n.Name, n.Role, tally, n.Reader,
 		links, n.HealthReports, n.UnresponsiveReports, n.HealthChecks, n.Violations)
 }
 
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil
 	}
-	const state = "%s: follows %s in term %d as %s, owns %d duties, %+v, subscribers %+v, refused %+v"
+	const state = "%s: leader %s, term %d, role %s, %d jobs owned, leases %+v, subscribers %+v, rejected and closed %+v"
 	return []string{fmt.Sprintf(state, p.Name, status.Lease.Leader, status.Lease.Term, status.Lease.Role, len(status.Lease.Owned),
 		status.Lease.Counts, status.Bus.Subscribers, status.Bus.Counts)}
 }
--- a/internal/testing/scenario/scale_diagnostics_test.go
+++ b/internal/testing/scenario/scale_diagnostics_test.go
@@ -8,8 +8,8 @@
 	"indigochute.example/indigochute/internal/testing/hollow"
 )
 
-// The labels in the line of a hollow director do not depend on the names of Go fields.
-func TestNodeStateKeepsItsLabels(t *testing.T) {
+// The state of a hollow director has a label for each value.
+func TestNodeStateLabels(t *testing.T) {
 	n := &hollow.NodeReport{
 		Name:                "d7",
 		Role:                "director",
@@ -25,9 +25,9 @@
 		HealthChecks:        8,
 		Violations:          []string{"a", "b"},
 	}
-	want := "{Name:d7 Role:director Tally:{Taken:9 Doubled:1 Stale:2 Crossed:3 Disordered:4 Unread:5} " +
-		fmt.Sprintf("Stream:%+v ", n.Reader) +
-		"Links:2 Active:c1 Received:100 Written:200 Longest:12.5 Told:6 Silent:7 Looks:8 Faults:[a b]}"
+	want := "{Name:d7 Role:director Tally:{Accepted:9 Duplicates:1 Stale:2 StaleAcrossOrigins:3 OutOfOrder:4 Unreadable:5} " +
+		fmt.Sprintf("Reader:%+v ", n.Reader) +
+		"Links:2 ActiveUplink:c1 Received:100 Written:200 LongestUnlinked:12.5 HealthReports:6 UnresponsiveReports:7 HealthChecks:8 Violations:[a b]}"
 	if got := nodeState(n); got != want {
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
--- a/internal/testing/scenario/scale_faults.go
+++ b/internal/testing/scenario/scale_faults.go
@@ -12,20 +12,20 @@
 	"indigochute.example/indigochute/internal/testing/testcluster"
 )
 
-// beginFault records the start of a fault and begins a phase with its name. The function end records the end of the fault, and
-// the evidence that it took effect; empty evidence means that there is none.
+// beginFault records the start of a fault and begins a phase with its name. The returned function records the end of the fault,
+// and the evidence that it took effect. Empty evidence means that there is none.
 func (s *scaleRun) beginFault(name string) (end func(evidence string)) {
 	s.beginPhase(phase{}, name)
-	at := len(s.result.Faults)
+	index := len(s.result.Faults)
 	s.result.Faults = append(s.result.Faults, faultRecord{Name: name, From: s.cluster.Now()})
 	return func(evidence string) {
-		s.result.Faults[at].Until, s.result.Faults[at].Evidence = s.cluster.Now(), evidence
+		s.result.Faults[index].Until, s.result.Faults[index].Evidence = s.cluster.Now(), evidence
 	}
 }
 
 // awaitLeader waits until there is a leader, and returns its process.
 func (s *scaleRun) awaitLeader() (leader *testcluster.Process, err error) {
-	_, err = s.cluster.Await("a keeper", maxTakeover, func() bool {
+	_, err = s.cluster.Await("a leader", maxTakeover, func() bool {
 		leader = s.cluster.Leader()
 		return leader != nil
 	})
@@ -43,18 +43,18 @@
 	for job, owners := range s.cluster.Owners() {
 		owned[job] = slices.Contains(owners, leader.Name)
 	}
-	end := s.beginFault("keeper killed")
+	end := s.beginFault("leader killed")
 	from := s.cluster.Now()
 	leader.Kill()
 	s.leaderKilledAt = time.Now()
-	next, err := s.awaitTakeover(from, owned)
+	newLeader, err := s.awaitTakeover(from, owned)
 	if err != nil {
 		s.result.Takeover = -1
 		s.addViolation(err)
 	}
 	evidence := ""
-	if next != nil && next != leader && !leader.Running() {
-		evidence = fmt.Sprintf("%s ended, %s is the keeper, all runs after %.2f s", leader.Name, next.Name, s.result.Takeover.Seconds())
+	if newLeader != nil && newLeader != leader && !leader.Running() {
+		evidence = fmt.Sprintf("%s ended, %s is the new leader, all jobs ran again after %.2f s", leader.Name, newLeader.Name, s.result.Takeover.Seconds())
 	}
 	time.Sleep(s.timing.killLength)
 	if err := leader.Start(); err != nil {
@@ -66,29 +66,29 @@
 }
 
 // awaitTakeover waits until there is a leader and each job that calls the counter has run again. A job that the lost leader
-// owned must run under a fencing token that was not known before. It measures both times, and returns the new leader, or nil
-// if there is none.
-func (s *scaleRun) awaitTakeover(lostAt time.Duration, lost map[string]bool) (next *testcluster.Process, err error) {
-	_, err = s.cluster.Await("another keeper, and every duty runs again", maxTakeover+takeoverAllowance, func() bool {
-		if next == nil {
-			if next = s.cluster.Leader(); next != nil {
+// owned must run with a higher fencing token than before. It records the longest of these times as the takeover, and returns the
+// new leader, or nil if there is none.
+func (s *scaleRun) awaitTakeover(lostAt time.Duration, lostJobs map[string]bool) (newLeader *testcluster.Process, err error) {
+	_, err = s.cluster.Await("a new leader, and every job runs again", maxTakeover+takeoverAllowance, func() bool {
+		if newLeader == nil {
+			if newLeader = s.cluster.Leader(); newLeader != nil {
 				s.result.Takeover = max(s.result.Takeover, s.cluster.Now()-lostAt)
 			}
 		}
-		first := firstStarts(s.cluster.Counter.Calls(), lostAt, func(call *testcluster.Call, known uint64) bool {
-			return !call.Rejected && (!lost[call.Job] || call.FencingToken > known)
+		first := firstStarts(s.cluster.Counter.Calls(), lostAt, func(call *testcluster.Call, highestToken uint64) bool {
+			return !call.Rejected && (!lostJobs[call.Job] || call.FencingToken > highestToken)
 		})
 		for _, at := range first {
 			s.result.Takeover = max(s.result.Takeover, at-lostAt)
 		}
-		return next != nil && len(first) == callJobs
+		return newLeader != nil && len(first) == callJobs
 	})
-	return next, err
+	return newLeader, err
 }
 
 // cutOffRegion partitions a region that has a control machine from all others, and then heals the partition.
 func (s *scaleRun) cutOffRegion() error {
-	regions := s.layout.severable()
+	regions := s.layout.severableRegions()
 	if len(regions) == 0 {
 		return errors.New("no region can be cut off")
 	}
@@ -112,7 +112,7 @@
 }
 
 // cutOffEvidence returns the evidence that a region is cut off: its directors have links only to its own control machines, and
-// some of them lack links or lag behind. It is empty if that is not so.
+// some of them lack links or lag behind. It returns no evidence unless both hold.
 func (s *scaleRun) cutOffEvidence(region int) (string, error) {
 	inside := map[string]bool{}
 	for _, m := range s.layout.hollowDirectors() {
@@ -127,13 +127,13 @@
 	if err != nil {
 		return "", err
 	}
-	directors, unlinked, mostLinks := 0, 0, 0
+	directors, unlinked, maxLinks := 0, 0, 0
 	for _, d := range report.List {
 		if !inside[d.Name] {
 			continue
 		}
 		directors++
-		mostLinks = max(mostLinks, d.Links)
+		maxLinks = max(maxLinks, d.Links)
 		if d.Links < 2 {
 			unlinked++
 		}
@@ -144,33 +144,33 @@
 			lagging[lag.Director] = true
 		}
 	}
-	reachesOthers := mostLinks > ownControl
+	reachesOthers := maxLinks > ownControl
 	affected := unlinked > 0 || len(lagging) > 0
 	if directors == 0 || reachesOthers || !affected {
 		return "", nil
 	}
-	const evidence = "of %d directors %d lack a link, and at least %d lag; control machines with them: %d"
+	const evidence = "of %d directors in the region %d lack a link and at least %d lag; control machines in the region: %d"
 	return fmt.Sprintf(evidence, directors, unlinked, len(lagging), ownControl), nil
 }
 
 // dropAllLinks resets every link of every director at once. The evidence is that the proxy reset two links of each hollow
 // director, and that all directors have two links again.
 func (s *scaleRun) dropAllLinks() error {
-	end := s.beginFault("all links of directors dropped")
+	end := s.beginFault("all links of directors reset")
 	open, resetsBefore := s.countConnections(allDirectorLinks)
 	from := time.Now()
 	s.cluster.Network.Reset(allDirectorLinks)
 	_, resetsAfter := s.countConnections(allDirectorLinks)
 	resets := resetsAfter - resetsBefore
-	took, err := s.cluster.Await("two links of every director again", maxTakeover, func() bool {
-		return len(s.answeredAfter(from, allDirectorLinks)) >= 2*s.sizes.Directors && s.allLinked()
+	took, err := s.cluster.Await("two links of every director after the reset", maxTakeover, func() bool {
+		return len(s.firstResponsesAfter(from, allDirectorLinks)) >= 2*s.sizes.Directors && s.allLinked()
 	})
 	evidence := ""
 	if err != nil {
 		s.addViolation(err)
 	} else if resets >= 2*s.result.HollowDirectors {
-		evidence = fmt.Sprintf("%d of %d links were reset, %d were dialled anew; after %.2f s all directors had two", resets, open,
-			len(s.answeredAfter(from, allDirectorLinks)), took.Seconds())
+		evidence = fmt.Sprintf("%d of %d connections were reset and %d opened anew; after %.2f s all directors had two links", resets, open,
+			len(s.firstResponsesAfter(from, allDirectorLinks)), took.Seconds())
 	}
 	end(evidence)
 	time.Sleep(s.timing.afterDrop)
@@ -188,9 +188,9 @@
 	return open, resets
 }
 
-// answeredAfter returns when connections over the links that match a pattern received their first response, for responses
-// after the given time.
-func (s *scaleRun) answeredAfter(after time.Time, pattern string) (all []time.Time) {
+// firstResponsesAfter returns the times at which connections over the links that match a pattern received their first response.
+// It leaves out times up to the given one.
+func (s *scaleRun) firstResponsesAfter(after time.Time, pattern string) (all []time.Time) {
 	for _, link := range s.cluster.Network.Links(pattern) {
 		for _, at := range link.Stats().FirstResponses {
 			if at.After(after) {
@@ -202,7 +202,7 @@
 }
 
 // pauseControl pauses a control machine that is not the leader for a while. Its connections stay open. The evidence is that
-// directors received events from it before, and none does while it is paused.
+// directors received events from it before the pause, and none receives events from it during the pause.
 func (s *scaleRun) pauseControl() error {
 	leader, err := s.awaitLeader()
 	if err != nil {
@@ -212,16 +212,16 @@
 	if err != nil {
 		return err
 	}
-	var followed []*testcluster.Process
+	var candidates []*testcluster.Process
 	for _, p := range s.control() {
 		if p != leader && before[p.Name] > 0 {
-			followed = append(followed, p)
+			candidates = append(candidates, p)
 		}
 	}
-	if len(followed) == 0 {
-		return fmt.Errorf("directors take notes from the keeper alone: %v", before)
+	if len(candidates) == 0 {
+		return fmt.Errorf("directors receive events only from the leader: %v", before)
 	}
-	p := followed[s.random.IntN(len(followed))]
+	p := candidates[s.random.IntN(len(candidates))]
 	end := s.beginFault(p.Name + " paused")
 	if err := p.Pause(); err != nil {
 		return err
@@ -233,7 +233,7 @@
 	}
 	evidence := ""
 	if after[p.Name] == 0 && !p.Running() {
-		evidence = fmt.Sprintf("%d directors took notes from %s before, none does now", before[p.Name], p.Name)
+		evidence = fmt.Sprintf("%d directors received events from %s before the pause, none during it", before[p.Name], p.Name)
 	}
 	if err := p.Resume(); err != nil {
 		return err
--- a/internal/testing/scenario/scale_hollow.go
+++ b/internal/testing/scenario/scale_hollow.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("%w\n%s", err, strings.Join(s.diagnostics(), "\n"))
 	}
-	s.cluster.AddEvent("play", fmt.Sprintf("all have two links after %.1f s", took.Seconds()))
+	s.cluster.AddEvent("play", fmt.Sprintf("all directors have two links after %.1f s", took.Seconds()))
 	return nil
 }
 
--- a/internal/testing/scenario/scale_layout.go
+++ b/internal/testing/scenario/scale_layout.go
@@ -20,11 +20,11 @@
 	maxSites     = 39
 )
 
-// maxRealDirectors is how many directors run as processes of their own and serve clients. It is one fewer if there are five in
-// all, so that at least one director is hollow.
+// maxRealDirectors is the number of directors that run as processes of their own and serve clients. There is one fewer of them if
+// the scenario has only five directors, so that at least one director is hollow.
 const maxRealDirectors = 5
 
-// directorsPerZone and directorsPerSite are the fewest directors that a zone or a site has on average.
+// directorsPerZone and directorsPerSite are the smallest average numbers of directors in a zone and a site.
 const (
 	directorsPerZone = 3
 	directorsPerSite = 2
@@ -39,10 +39,10 @@
 // check returns an error for sizes that the scenario cannot be run with.
 func (s Sizes) check() error {
 	if s.Directors < minDirectors || s.Directors > maxDirectors {
-		return fmt.Errorf("%d directors, where %d to %d can be rehearsed", s.Directors, minDirectors, maxDirectors)
+		return fmt.Errorf("%d directors, want %d to %d", s.Directors, minDirectors, maxDirectors)
 	}
 	if s.Control < minControl || s.Control > maxControl || s.Control%2 == 0 {
-		return fmt.Errorf("%d control machines, where an odd number from %d to %d can be", s.Control, minControl, maxControl)
+		return fmt.Errorf("%d control machines, want an odd number from %d to %d", s.Control, minControl, maxControl)
 	}
 	return nil
 }
@@ -87,7 +87,7 @@
 }
 
 // clamp limits a value to a range.
-func clamp(value, least, most int) int { return min(most, max(least, value)) }
+func clamp(value, low, high int) int { return min(high, max(low, value)) }
 
 // locate returns the location of a site.
 func (l *layout) locate(site int) location {
@@ -108,9 +108,9 @@
 // hollowDirectors returns the directors that run together in one process.
 func (l *layout) hollowDirectors() []machine { return l.directors[l.realDirectors:] }
 
-// severable returns the regions that can be cut off. Each has a control machine, but a majority of control machines remains
-// outside. Each has a hollow director as well, as only of those every event is checked.
-func (l *layout) severable() (regions []int) {
+// severableRegions returns the regions that can be cut off. Each has a control machine, but a majority of control machines is in
+// other regions. Each also has a hollow director, as every event is checked only for hollow directors.
+func (l *layout) severableRegions() (regions []int) {
 	for region := range l.regions {
 		control := countIn(region, l.control)
 		majorityRemains := 2*control < len(l.control)
--- a/internal/testing/scenario/scale_layout_test.go
+++ b/internal/testing/scenario/scale_layout_test.go
@@ -12,17 +12,17 @@
 	"indigochute.example/indigochute/internal/clusterconfig"
 )
 
-// Sizes out of bounds are rejected before anything is started, and so are sizes for a scenario that has none.
+// Sizes out of bounds are rejected before anything is started, and so are sizes for a scenario that does not accept any.
 func TestInvalidSizesAreRejected(t *testing.T) {
 	for _, test := range []struct {
 		sizes     Sizes
 		wantError string
 	}{
-		{Sizes{4, 3}, "4 directors, where 5 to 580"},
-		{Sizes{581, 9}, "581 directors, where 5 to 580"},
+		{Sizes{4, 3}, "4 directors, want 5 to 580"},
+		{Sizes{581, 9}, "581 directors, want 5 to 580"},
 		{Sizes{0, 9}, "0 directors"},
 		{Sizes{-1, 9}, "-1 directors"},
-		{Sizes{20, 1}, "1 control machines, where an odd number from 3 to 9"},
+		{Sizes{20, 1}, "1 control machines, want an odd number from 3 to 9"},
 		{Sizes{20, 4}, "4 control machines"},
 		{Sizes{20, 11}, "11 control machines"},
 		{Sizes{20, 0}, "0 control machines"},
@@ -31,8 +31,8 @@
 			t.Errorf("%+v: error %v, want one with %q", test.sizes, err, test.wantError)
 		}
 	}
-	if _, err := Run("plan", 1, Sizes{20, 3}); err == nil || !strings.Contains(err.Error(), "plan has no sizes") {
-		t.Errorf("sizes for the scenario plan: error %v, want one that it has no sizes", err)
+	if _, err := Run("plan", 1, Sizes{20, 3}); err == nil || !strings.Contains(err.Error(), "plan does not accept sizes") {
+		t.Errorf("sizes for the scenario plan: error %v, want one that it does not accept sizes", err)
 	}
 }
 
@@ -60,8 +60,7 @@
 	}
 }
 
-// Whatever the sizes, all machines are placed, each zone is in one region and each site in one zone, and there is a region that
-// can be cut off.
+// For all sizes, each machine is placed, each zone is in one region, each site is in one zone, and some region can be cut off.
 func TestLayoutPlacesAllMachines(t *testing.T) {
 	forEachSize(t, func(t *testing.T, sizes Sizes, l *layout) {
 		regions, regionOfZone, zoneOfSite := map[int]bool{}, map[int]int{}, map[int]int{}
@@ -88,13 +87,13 @@
 		if l.realDirectors >= sizes.Directors {
 			t.Errorf("%d of %d directors are real, want at least one that is hollow", l.realDirectors, sizes.Directors)
 		}
-		if len(l.severable()) == 0 {
+		if len(l.severableRegions()) == 0 {
 			t.Error("no region can be cut off")
 		}
 	})
 }
 
-// Whatever the sizes, the cluster configuration file is valid and names all machines with their locations and addresses.
+// For all sizes, the cluster configuration file is valid and names all machines with their locations and addresses.
 func TestClusterConfigOfEverySizeIsValid(t *testing.T) {
 	forEachSize(t, func(t *testing.T, sizes Sizes, l *layout) {
 		text := clusterConfigText{
@@ -121,7 +120,7 @@
 }
 
 // The border of a region consists of all links that join it to other regions, and of no other link.
-func TestBorderOfARegion(t *testing.T) {
+func TestBorderOfRegion(t *testing.T) {
 	l := newLayout(Sizes{60, 9}) // c0 and c7 are in r0, c1 and c8 in r1
 	border := l.border(0)
 	for link, want := range map[string]bool{
--- a/internal/testing/scenario/scale_result.go
+++ b/internal/testing/scenario/scale_result.go
@@ -48,18 +48,18 @@
 	}
 }
 
-// phase is a part of a run whose latencies are measured apart.
+// phase is a part of a run whose latencies are measured separately.
 type phase struct {
 	hollow.WindowReport
 	Quiet  bool // before the first fault
-	Healed bool // it began when a region was joined again; latencies of earlier events count from there
+	Healed bool // began when a region was joined again; latencies of earlier events are measured from then on
 }
 
 // faultRecord is one fault that was injected.
 type faultRecord struct {
 	Name        string
 	From, Until time.Duration // by the cluster's clock
-	Evidence    string        // that the fault took effect; empty if there is none
+	Evidence    string        // evidence that the fault took effect; empty if there is none
 }
 
 // String returns the fault as a line of the report's record.
--- a/internal/testing/scenario/scale_sample.go
+++ b/internal/testing/scenario/scale_sample.go
@@ -21,7 +21,7 @@
 // time stamp option.
 const segmentHeaderBytes = 52
 
-// usage is what hollow directors have used up to a time.
+// usage is the resource usage of the hollow directors up to a time.
 type usage struct {
 	at         time.Time
 	cpu        time.Duration
@@ -29,8 +29,8 @@
 	byDirector map[string]int64 // bytes read and written, by name
 }
 
-// sampleUntilStopped samples the usage of all processes until the run ends. A sample is quiet if the quiet phase covers both
-// of its readings.
+// sampleUntilStopped samples the usage of all processes until the run ends. A sample is quiet if both of its
+// readings are in the quiet phase.
 func (s *scaleRun) sampleUntilStopped() {
 	period := shortSamplePeriod
 	if s.sizes.Directors > shortestUpTo {
@@ -78,9 +78,9 @@
 }
 
 // errReportTruncated means that a report does not list all directors.
-var errReportTruncated = errors.New("the report lists fewer directors than were asked for")
+var errReportTruncated = errors.New("the report lists fewer directors than requested")
 
-// readUsage reads what hollow directors have used so far, and updates the usage of all other processes. It returns nil if the
+// readUsage reads the usage of hollow directors so far, and updates the usage of all other processes. It returns nil if the
 // hollow process did not answer.
 func (s *scaleRun) readUsage() *usage {
 	s.updateProcesses()
@@ -95,7 +95,7 @@
 		err = errReportTruncated
 	}
 	if err != nil {
-		s.addSampleError(fmt.Errorf("what hollow directors read and wrote: %w", err))
+		s.addSampleError(fmt.Errorf("bytes read and written by hollow directors: %w", err))
 		return nil
 	}
 	now.bytes = report.Received + report.Written
@@ -136,12 +136,12 @@
 	times.total += cpu - times.current
 	times.current = cpu
 	s.cpu[name] = times
-	used := s.result.Control[name]
-	used.Memory = max(used.Memory, memory)
-	s.result.Control[name] = used
+	machine := s.result.Control[name]
+	machine.Memory = max(machine.Memory, memory)
+	s.result.Control[name] = machine
 }
 
-// addSampleError keeps an error of a sample for the record, up to maxListed of them.
+// addSampleError stores an error of a sample for the record, unless maxListed are stored already.
 func (s *scaleRun) addSampleError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,12 +154,12 @@
 // goroutines in background have ended.
 func (s *scaleRun) finishSamples() {
 	for _, err := range s.sampleErrs {
-		s.record = append(s.record, "a look that failed: "+err.Error())
+		s.record = append(s.record, "failed sample: "+err.Error())
 	}
 	for name, times := range s.cpu {
-		used := s.result.Control[name]
-		used.Cores = times.total.Seconds() / s.result.sampledLength().Seconds()
-		s.result.Control[name] = used
+		machine := s.result.Control[name]
+		machine.Cores = times.total.Seconds() / s.result.sampledLength().Seconds()
+		s.result.Control[name] = machine
 	}
 }
 
--- a/internal/testing/scenario/scale_usage.go
+++ b/internal/testing/scenario/scale_usage.go
@@ -39,11 +39,11 @@
 
 // checkRate checks the mean rate of one hollow director in the quiet phase, over the complete run, and in its worst window.
 func (p *scaleResult) checkRate(r *Report, name string, measure func(*sample) float64, budget float64, unit string) {
-	each := func(samples []sample) float64 { return rate(samples, measure) / float64(p.HollowDirectors) }
+	perDirector := func(samples []sample) float64 { return rate(samples, measure) / float64(p.HollowDirectors) }
 	quiet := slices.DeleteFunc(slices.Clone(p.Samples), func(s sample) bool { return !s.Quiet })
-	r.addBudgeted(name+"_quiet", each(quiet), budget, unit)
-	r.addBudgeted(name, each(p.Samples), budget, unit)
-	r.addBudgeted(name+"_worst_window", worstWindow(p.Samples, each), budget, unit)
+	r.addBudgeted(name+"_quiet", perDirector(quiet), budget, unit)
+	r.addBudgeted(name, perDirector(p.Samples), budget, unit)
+	r.addBudgeted(name+"_worst_window", worstWindow(p.Samples, perDirector), budget, unit)
 }
 
 // checkProcesses checks the memory of real directors, and adds the largest figures of any control machine.
@@ -72,7 +72,7 @@
 	return sum
 }
 
-// rate returns a measure a second over some samples. It is NaN if there are none.
+// rate returns the sum of a measure over some samples, divided by their length in seconds. It is NaN if there are no samples.
 func rate(samples []sample, measure func(*sample) float64) float64 {
 	sum, length := 0.0, time.Duration(0)
 	for i := range samples {
--- a/internal/testing/scenario/scenario.go
+++ b/internal/testing/scenario/scenario.go
@@ -26,8 +26,8 @@
 	r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 }
 
-// addFigure records a measurement. A value that is not finite was not measured: that is a violation, and addFigure returns
-// false.
+// addFigure records a measurement. If the value is not finite, nothing was measured: addFigure records a violation instead and
+// returns false.
 func (r *Report) addFigure(name string, value float64) bool {
 	if math.IsNaN(value) || math.IsInf(value, 0) {
 		r.addViolation("%s was not measured", name)
@@ -44,7 +44,7 @@
 	}
 	r.Figures[name+"_budget"] = budget
 	if value > budget {
-		r.addViolation("%s: %.4g %s, where %.4g are the budget", name, value, unit, budget)
+		r.addViolation("%s: %.4g %s, above the budget of %.4g", name, value, unit, budget)
 	}
 }
 
@@ -61,17 +61,17 @@
 	return []Scenario{
 		{
 			Name:        "plan",
-			Description: "a prediction, checked on sockets below and above the breaking point; a cold return; a drain and a purge",
+			Description: "checks a predicted breaking point on sockets, with loads below and above it; caches that restart empty; a drain and a purge",
 			Run:         runPlan,
 		},
 		{
 			Name:        "duties",
-			Description: "duties that only one director may run: kills, pauses, cuts, leaves, slow and garbled links, among 3 and 5 processes",
+			Description: "jobs that only one director may run at a time: kills, pauses, partitions, shutdowns, slow and corrupting links, with 3 and 5 processes",
 			Run:         runJobs,
 		},
 		{
 			Name:        "scale",
-			Description: "580 directors on 9 control machines, or fewer: the keeper killed, a region cut off, all links of directors dropped, a pause",
+			Description: "up to 580 directors and 9 control machines: the leader killed, a region cut off, all links of directors reset, a control machine paused",
 			Run:         func(seed uint64, r *Report) error { return runScale(Sizes{maxDirectors, maxControl}, seed, r) },
 			RunSized:    runScale,
 		},
@@ -82,18 +82,18 @@
 // otherwise. An error means that the scenario could not be run, which says nothing about the subsystem under test. Faults of
 // that subsystem are violations in the report.
 func Run(name string, seed uint64, sizes ...Sizes) (*Report, error) {
-	chosen, err := find(name)
+	selected, err := findScenario(name)
 	if err != nil {
 		return nil, err
 	}
 	report := &Report{Name: name, Seed: seed, Figures: map[string]float64{}, Violations: []string{}}
 	switch {
 	case len(sizes) == 0:
-		err = chosen.Run(seed, report)
-	case chosen.RunSized == nil:
-		err = fmt.Errorf("rehearsal %s has no sizes", name)
+		err = selected.Run(seed, report)
+	case selected.RunSized == nil:
+		err = fmt.Errorf("scenario %s does not accept sizes", name)
 	default:
-		err = chosen.RunSized(sizes[0], seed, report)
+		err = selected.RunSized(sizes[0], seed, report)
 	}
 	if err != nil {
 		return nil, err
@@ -102,16 +102,16 @@
 	return report, nil
 }
 
-// find returns the scenario with the given name. The error for an unknown name lists those that exist.
-func find(name string) (Scenario, error) {
+// findScenario returns the scenario with the given name. The error for an unknown name lists the available scenarios.
+func findScenario(name string) (Scenario, error) {
 	all := All()
-	at := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name })
-	if at >= 0 {
-		return all[at], nil
+	index := slices.IndexFunc(all, func(s Scenario) bool { return s.Name == name })
+	if index >= 0 {
+		return all[index], nil
 	}
 	var names []string
 	for _, s := range all {
 		names = append(names, s.Name)
 	}
-	return Scenario{}, fmt.Errorf("no rehearsal %q; there are: %s", name, strings.Join(names, ", "))
+	return Scenario{}, fmt.Errorf("unknown scenario %q; available scenarios: %s", name, strings.Join(names, ", "))
 }
