--- a/internal/testing/hollow/checker.go
+++ b/internal/testing/hollow/checker.go
@@ -1,7 +1,7 @@
 package hollow
 
-// This file holds the checker of a host. It knows all events that any director has accepted, and gives each event an index,
-// which stands for the event in bitmaps.
+// This file holds the checker of a host. It stores all events that any director has accepted. Each event has an index, which
+// represents the event in bitmaps.
 
 import (
 	"strings"
@@ -16,7 +16,7 @@
 	maxIncarnations     = 1024    // of origins, for each director
 	maxWindows          = 64
 	maxListedViolations = 4  // of each director
-	maxListed           = 64 // missing events, lagging directors and directors without events
+	maxListed           = 64 // entries in each list of missing events, lags and directors without events
 )
 
 // Checker compares the events that each of many directors accepts with those that all should have. Every event must be
@@ -65,7 +65,7 @@
 	return o
 }
 
-// Unchecked counts the events that were accepted but not checked, as a bound of the checker was reached.
+// Unchecked returns the number of events that were accepted but not checked, because a bound of the checker was reached.
 func (c *Checker) Unchecked() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/testing/hollow/checker_test.go
+++ b/internal/testing/hollow/checker_test.go
@@ -67,7 +67,7 @@
 	duplicate := events{trialEvent("c0", 4, "a", true, 3, 2, at)}
 	oldToken := events{trialEvent("c1", 3, "b", false, 3, 9, at)}
 	oldRun := events{trialEvent("c1", 3, "b", false, 4, 0, at)}
-	oldAcross := events{trialEvent("c2", 1, "b", false, 3, 9, at)}
+	oldAcrossOrigins := events{trialEvent("c2", 1, "b", false, 3, 9, at)}
 	report1, report2 := healthEvent(1, 1), healthEvent(2, 2)
 	staleReport := events{report2, healthEvent(3, 1)}
 	return valid, []checkerCase{
@@ -81,14 +81,14 @@
 			first:         duplicate,
 			second:        valid,
 			wantTally:     Tally{Accepted: 11, Duplicates: 1},
-			wantViolation: "doubled: number 4 of c0/7",
+			wantViolation: "duplicate: number 4 of c0/7",
 		},
 		{
 			name:          "duplicate number",
 			first:         valid[1:2],
 			second:        valid,
 			wantTally:     Tally{Accepted: 11, Duplicates: 1, OutOfOrder: 1},
-			wantViolation: "disordered: number 2 of c0/7 after 3",
+			wantViolation: "out of order: number 2 of c0/7 after 3",
 		},
 		{
 			name:          "stale token",
@@ -102,11 +102,11 @@
 			first:         oldRun,
 			second:        valid,
 			wantTally:     Tally{Accepted: 11, Stale: 1},
-			wantViolation: "run 0 under 4 of c1 after run 2",
+			wantViolation: "run 0 with fencing token 4 of c1 after run 2",
 		},
 		{
 			name:          "stale token of another origin",
-			first:         oldAcross,
+			first:         oldAcrossOrigins,
 			second:        valid,
 			wantTally:     Tally{Accepted: 11, Stale: 1, StaleAcrossOrigins: 1},
 			wantViolation: "stale",
@@ -148,14 +148,14 @@
 			first:         events{truncated},
 			second:        valid,
 			wantTally:     Tally{Accepted: 11, Unreadable: 1},
-			wantViolation: "unread",
+			wantViolation: "unreadable",
 		},
 		{
 			name:          "key of another run",
 			first:         events{otherKey},
 			second:        valid,
 			wantTally:     Tally{Accepted: 11, Unreadable: 1},
-			wantViolation: "unread",
+			wantViolation: "unreadable",
 		},
 		{
 			name:      "health reports",
@@ -182,7 +182,7 @@
 			first:         events{healthEvent(3, 2), otherJob},
 			second:        after(healthEvent(3, 2)),
 			wantTally:     Tally{Accepted: 13, Unreadable: 1},
-			wantViolation: "unread",
+			wantViolation: "unreadable",
 		},
 	}
 }
@@ -250,9 +250,9 @@
 	}
 }
 
-// Only events published in the time range count. The digests of two hosts that accepted the same events are equal, whatever
-// the order.
-func TestMissingOfATimeRange(t *testing.T) {
+// Only events published in the time range count. The digests of two hosts that accepted the same events are equal in any
+// order of the events.
+func TestMissingInTimeRange(t *testing.T) {
 	at := time.Now()
 	checker, other := NewChecker(), NewChecker()
 	checker.Observer("d1") // accepts nothing
@@ -285,7 +285,7 @@
 	}
 }
 
-// Latencies are recorded by window, and apart for events that were published before the window began. There are at most
+// Latencies are recorded by window, and separately for events that were published before the window began. There are at most
 // maxWindows.
 func TestWindows(t *testing.T) {
 	checker := NewChecker()
--- a/internal/testing/hollow/compare.go
+++ b/internal/testing/hollow/compare.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file compares a real director with a hollow one by what it costs them to follow control machines.
+// This file compares what it costs a real director and a hollow one to follow control machines.
 
 import (
 	"errors"
@@ -43,7 +43,7 @@
 	Directors int   `json:"directors"`
 	Without   Rates `json:"real_without"` // a real director without a cluster configuration
 	With      Rates `json:"real_with"`    // a real director that follows control machines
-	Real      Rates `json:"real"`         // With less Without
+	Real      Rates `json:"real"`         // difference of the two above: the cost of following control machines
 	Hollow    Rates `json:"hollow"`       // one director's share of a host, less that of a host without directors
 	Ratio     Rates `json:"ratio"`        // Hollow divided by Real; 0 for goroutines, which are unknown for real directors
 }
@@ -52,7 +52,7 @@
 // clients, and as many hollow directors.
 func (m *Meter) Compare(directors int) (*Comparison, error) {
 	if directors < 1 || directors > MaxRealDirectors {
-		return nil, fmt.Errorf("hollow: %d real directors: 1 to %d are expected", directors, MaxRealDirectors)
+		return nil, fmt.Errorf("hollow: %d real directors, want 1 to %d", directors, MaxRealDirectors)
 	}
 	c := &Comparison{Directors: directors}
 	var err error
@@ -115,8 +115,8 @@
 	return all[1].minus(all[0]).dividedBy(directors), nil
 }
 
-// measureReal returns the mean usage of a number of real directors. They follow the control machines, or know of no other
-// process if control is nil.
+// measureReal returns the mean usage of a number of real directors. They follow the control machines, or run
+// without a cluster configuration if control is nil.
 func (m *Meter) measureReal(directors int, control *ControlPlane) (rates Rates, err error) {
 	network, err := topology.Parse("quiet", fmt.Appendf(nil, idleTopology, directors))
 	if err != nil {
@@ -148,8 +148,8 @@
 	if err != nil {
 		return rates, err
 	}
-	for _, one := range all {
-		rates = rates.plus(one)
+	for _, director := range all {
+		rates = rates.plus(director)
 	}
 	return rates.dividedBy(directors), nil
 }
@@ -170,15 +170,15 @@
 		return err
 	}
 	for i := range number {
-		if err := d.startOne(i); err != nil {
+		if err := d.startDirector(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startOne starts the director with a number and waits until it accepts clients.
-func (d *realDirectors) startOne(number int) error {
+// startDirector starts the director with the given number and waits until it accepts clients.
+func (d *realDirectors) startDirector(number int) error {
 	address, err := emulator.FreePort()
 	if err != nil {
 		return err
@@ -198,7 +198,7 @@
 	command := exec.Command(d.program, args...)
 	command.Env = append(os.Environ(), "ROUTER_CONFIG="+path)
 	command.Stderr = os.Stderr
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends it even if its parent is killed
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the director even if this process is killed
 	if err := command.Start(); err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 	return pids
 }
 
-// kill ends all directors at once, and removes their files.
+// kill ends all directors immediately and removes their files.
 func (d *realDirectors) kill() {
 	for _, command := range d.commands {
 		command.Process.Kill()
--- a/internal/testing/hollow/control_plane.go
+++ b/internal/testing/hollow/control_plane.go
@@ -33,7 +33,7 @@
 	dir        string // of ConfigFile
 }
 
-// StartControlPlane starts a number of control machines at free addresses. Each has the given number of made-up machines whose
+// StartControlPlane starts a number of control machines at free addresses. Each has the given number of fake machines whose
 // health it checks. StartControlPlane does not wait until the control machines are connected.
 func StartControlPlane(program string, layout Layout, control, machines int) (c *ControlPlane, err error) {
 	if layout.Control, err = freeAddresses(control); err != nil {
@@ -75,13 +75,13 @@
 	return errors.Join(failures...)
 }
 
-// awaitSubscribers waits until directors have a number of links to the control machines, and these have exchanged health
-// reports.
+// awaitSubscribers waits until directors have the given number of links to the control machines, and each control machine has
+// health reports.
 func (c *ControlPlane) awaitSubscribers(links int) error {
-	connected, informed := 0, 0
-	_, err := Await("links to control machines, and news", maxLinkTime, func() bool {
+	connected, withReports := 0, 0
+	_, err := Await("links to control machines, and health reports", maxLinkTime, func() bool {
 		time.Sleep(linkPollPeriod)
-		connected, informed = 0, 0
+		connected, withReports = 0, 0
 		for _, address := range c.Layout.Control {
 			status, err := cluster.QueryInstance(address)
 			if err != nil {
@@ -89,13 +89,13 @@
 			}
 			connected += status.Bus.Subscribers.Connected
 			if status.Health.Alive > 0 {
-				informed++
+				withReports++
 			}
 		}
-		return connected == links && informed == len(c.Layout.Control)
+		return connected == links && withReports == len(c.Layout.Control)
 	})
 	if err != nil {
-		return fmt.Errorf("%w: %d of %d are up, %d control machines were told something", err, connected, links, informed)
+		return fmt.Errorf("%w: %d of %d links are up, %d control machines have health reports", err, connected, links, withReports)
 	}
 	return nil
 }
--- a/internal/testing/hollow/fit.go
+++ b/internal/testing/hollow/fit.go
@@ -1,7 +1,7 @@
 package hollow
 
-// This file fits a straight line through each figure of traffic by the number of directors, and compares what the line
-// predicts for the largest size with what was measured.
+// This file fits a straight line through each figure of traffic by the number of directors, and compares the prediction of the
+// line for the largest size with the measured figure.
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 const (
 	maxFittedSize      = 290           // largest number of directors through which lines are fitted
 	predictedSize      = 580           // number of directors that is predicted
-	maxPredictionError = scaling.Bound // as a share of what was measured
+	maxPredictionError = scaling.Bound // as a share of the measured figure
 	minFittedSizes     = 2
 )
 
@@ -35,7 +35,7 @@
 	value func(s *Size) float64
 }
 
-// figuresOf returns the five figures of a set of rates. The subject is what the rates were measured of.
+// figuresOf returns the five figures of a set of rates. The subject names the processes whose rates they are.
 func figuresOf(subject string, rates func(s *Size) Rates) []figure {
 	return []figure{
 		{subject + ": received, bytes/s", func(s *Size) float64 { return rates(s).Received }},
--- a/internal/testing/hollow/hollow.go
+++ b/internal/testing/hollow/hollow.go
@@ -11,13 +11,13 @@
 // Bounds of a host.
 const (
 	maxNodes    = 1024
-	maxMachines = 16000 // made-up machines of each node
+	maxMachines = 16000 // fake machines of each node
 )
 
 // Spec describes what a host runs. The process of a host reads it as JSON.
 type Spec struct {
 	Address  string     `json:"desk"`     // where the host answers queries; port 0 is any free port, empty any on loopback
-	Machines int        `json:"machines"` // number of made-up machines of each node, which are all healthy
+	Machines int        `json:"machines"` // number of fake machines of each node, which are all healthy
 	Nodes    []NodeSpec `json:"directors"`
 }
 
@@ -32,14 +32,14 @@
 func (s *Spec) Validate() error {
 	switch {
 	case len(s.Nodes) > maxNodes:
-		return fmt.Errorf("hollow: %d directors: %d at most are expected", len(s.Nodes), maxNodes)
+		return fmt.Errorf("hollow: %d nodes, want at most %d", len(s.Nodes), maxNodes)
 	case s.Machines < 0 || s.Machines > maxMachines:
-		return fmt.Errorf("hollow: %d machines: 0 to %d are expected", s.Machines, maxMachines)
+		return fmt.Errorf("hollow: %d machines of each node, want 0 to %d", s.Machines, maxMachines)
 	}
 	names := map[string]bool{}
 	for _, n := range s.Nodes {
 		if names[n.Name] {
-			return fmt.Errorf("hollow: two directors are named %q", n.Name)
+			return fmt.Errorf("hollow: two nodes are named %q", n.Name)
 		}
 		names[n.Name] = true
 	}
--- a/internal/testing/hollow/host.go
+++ b/internal/testing/hollow/host.go
@@ -55,7 +55,7 @@
 
 // start starts the nodes and the server for queries. After an error the caller calls Close.
 func (h *Host) start() (err error) {
-	configs, machines := configFiles{}, madeUpMachines(h.spec.Machines)
+	configs, machines := configFiles{}, fakeMachines(h.spec.Machines)
 	for _, spec := range h.spec.Nodes {
 		config, err := configs.read(spec.ConfigFile)
 		if err != nil {
@@ -76,8 +76,8 @@
 
 // read returns the file at a path.
 func (c configFiles) read(path string) (*clusterconfig.File, error) {
-	if known := c[path]; known != nil {
-		return known, nil
+	if cached := c[path]; cached != nil {
+		return cached, nil
 	}
 	config, err := clusterconfig.Read(path, "")
 	if err == nil {
@@ -90,7 +90,7 @@
 func (h *Host) Addr() string { return h.server.Addr() }
 
 // Reload reads the cluster configuration files again and reloads all nodes. The error joins the errors of nodes that rejected
-// their file. All other nodes have been reloaded even so.
+// their file. All other nodes are reloaded even if there is an error.
 func (h *Host) Reload() error {
 	var failures []error
 	configs := configFiles{}
@@ -122,13 +122,13 @@
 	}
 }
 
-// Shutdown ends all nodes gracefully: they hand over their jobs first.
+// Shutdown ends all nodes gracefully, after they have handed over their jobs.
 func (h *Host) Shutdown() { h.endAll(participant.Leave) }
 
-// Close ends all nodes at once.
+// Close ends all nodes immediately.
 func (h *Host) Close() { h.endAll(participant.Close) }
 
-// endAll ends all nodes at the same time. It does nothing if the host has been ended before.
+// endAll ends all nodes concurrently. It does nothing if the host has been ended before.
 func (h *Host) endAll(end func(participant)) {
 	h.mu.Lock()
 	alreadyClosed := h.closed
--- a/internal/testing/hollow/host_test.go
+++ b/internal/testing/hollow/host_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Every director accepts every event once, even when the control machine ends from which most of them receive events.
+// Every director accepts every event once, even if the control machine that sends events to most directors ends.
 func TestEveryDirectorAcceptsEveryEvent(t *testing.T) {
 	t.Parallel()
 	h := openFollowed(t, 20)
@@ -69,7 +69,7 @@
 	h.checkLostAll(t)
 }
 
-// busiestControl returns the index of the control machine from which most directors receive events.
+// busiestControl returns the index of the control machine that sends events to the most directors.
 func (h *followedHost) busiestControl(r *Report) (busiest int) {
 	followers := func(i int) int { return r.DirectorsByUplink[fmt.Sprintf("c%d", i)] }
 	for i := range h.control {
@@ -80,8 +80,8 @@
 	return busiest
 }
 
-// checkLostControl ends the control machine from which most directors receive events, and checks that all directors go on
-// accepting events.
+// checkLostControl ends the control machine that sends events to the most directors, and checks that all directors continue to
+// accept events.
 func (h *followedHost) checkLostControl(t *testing.T, before *Report) {
 	t.Helper()
 	if err := h.checker.BeginWindow("a control machine ends", time.Now()); err != nil {
@@ -168,8 +168,8 @@
 	if r, err := p.Report(0); err != nil || len(r.Windows) != 2 || r.Windows[1].Name != "next" || len(r.List) != 3 {
 		t.Errorf("report %+v, %v, want a second window named next and 3 nodes", r, err)
 	}
-	if err := p.query(topicReport, "no question", nil); err == nil || !strings.Contains(err.Error(), "cannot be read") {
-		t.Errorf("an invalid query returns %v, want an error that it cannot be read", err)
+	if err := p.query(topicReport, "not a query", nil); err == nil || !strings.Contains(err.Error(), "query cannot be parsed") {
+		t.Errorf("an invalid query returns %v, want an error that the query cannot be parsed", err)
 	}
 }
 
@@ -189,9 +189,9 @@
 		wantError string
 	}{
 		{"too many nodes", Spec{Nodes: tooMany}, "at most"},
-		{"two nodes of the same name", Spec{Nodes: tooMany[:2]}, "two directors"},
+		{"two nodes of the same name", Spec{Nodes: tooMany[:2]}, "two nodes are named"},
 		{"negative number of machines", Spec{Machines: -1}, "machines"},
-		{"node that the file does not name", Spec{Nodes: []NodeSpec{{"d0", file}}}, "names nobody"},
+		{"node that the file does not name", Spec{Nodes: []NodeSpec{{"d0", file}}}, "has no node of this name"},
 		{"file that does not exist", Spec{Nodes: []NodeSpec{{"n0", file + ".not"}}}, "no such file"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/testing/hollow/meter.go
+++ b/internal/testing/hollow/meter.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file measures what the traffic between directors and control machines costs, by the number of directors.
+// This file measures the cost of the traffic between directors and control machines, by the number of directors.
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 
 // Settings of measurements. The figures of the project are measured with these defaults.
 const (
-	trafficMachines     = 140 // made-up machines, which give health reports a realistic size
+	trafficMachines     = 140 // fake machines, which give health reports a realistic size
 	trafficJobs         = "duties:\n  - {name: probe, kind: probe, period: 500ms, timeout: 300ms}\n"
 	defaultControl      = 9 // control machines
 	defaultSettleTime   = 3 * time.Second
@@ -32,7 +32,7 @@
 	Control = "control" // between directors and control machines
 )
 
-// Meter measures what traffic costs.
+// Meter measures the cost of traffic.
 type Meter struct {
 	Program         string // path of the built program
 	ControlMachines int
@@ -58,7 +58,7 @@
 	Empty Rates       `json:"empty"` // of a process without directors
 	Sizes []Size      `json:"sizes"`
 	Fits  []LinearFit `json:"slopes"`
-	Holds bool        `json:"holds"` // all predictions hold whose size was measured
+	Holds bool        `json:"holds"` // every prediction holds whose size was measured
 }
 
 // Size holds what traffic costs with one number of directors.
@@ -68,7 +68,7 @@
 	Process    Rates         `json:"process"`      // of the process of all directors
 	Director   Rates         `json:"director"`     // one director's share of Process, without PeerTraffic.Empty
 	Control    *Rates        `json:"control"`      // mean of the control machines; nil for a mesh
-	ControlMax *Rates        `json:"control_most"` // largest of each figure of any control machine; nil for a mesh
+	ControlMax *Rates        `json:"control_most"` // each figure of the control machine for which it is largest; nil for a mesh
 	Threads    int           `json:"threads"`      // of the process of all directors
 }
 
@@ -83,7 +83,7 @@
 	case Control:
 		maxSize, measure = MaxControlSize, m.measureControl
 	default:
-		return nil, fmt.Errorf("hollow: a kind of talk %q: %s or %s is expected", kind, Mesh, Control)
+		return nil, fmt.Errorf("hollow: unknown kind of traffic %q, want %s or %s", kind, Mesh, Control)
 	}
 	traffic := &PeerTraffic{Kind: kind}
 	var err error
@@ -92,7 +92,7 @@
 	}
 	for _, directors := range slices.Sorted(slices.Values(sizes)) {
 		if directors < minSize || directors > maxSize {
-			return nil, fmt.Errorf("hollow: %d directors: %d to %d are expected with %s", directors, minSize, maxSize, kind)
+			return nil, fmt.Errorf("hollow: %d directors, want %d to %d for %s", directors, minSize, maxSize, kind)
 		}
 		size, err := measure(directors)
 		if err != nil {
@@ -177,8 +177,8 @@
 	size := &Size{Directors: len(p.Spec.Nodes), SettleTime: took, Process: rates[0], Threads: usage.Threads}
 	if len(control) > 0 {
 		var sum, largest Rates
-		for _, one := range rates[1:] {
-			sum, largest = sum.plus(one), largest.max(one)
+		for _, machine := range rates[1:] {
+			sum, largest = sum.plus(machine), largest.max(machine)
 		}
 		mean := sum.dividedBy(len(control))
 		size.Control, size.ControlMax = &mean, &largest
@@ -186,26 +186,26 @@
 	return size, nil
 }
 
-// awaitSettled waits until every node of a host has the given number of links up and has health reports, and then for
-// SettleTime. It returns how long it took until the nodes had both.
+// awaitSettled waits until every node of a host has the given number of links up and has health reports. It then waits for
+// SettleTime, which is not part of the returned duration.
 func (m *Meter) awaitSettled(p *Process, links int) (time.Duration, error) {
 	nodes := len(p.Spec.Nodes)
-	lastState := "nothing was answered"
-	took, err := Await("all links up and news everywhere", maxLinkTime, func() bool {
+	lastState := "no report was received"
+	took, err := Await("all links up and health reports at every node", maxLinkTime, func() bool {
 		time.Sleep(linkPollPeriod)
 		report, err := p.Report(nodes)
 		if err != nil {
 			lastState = err.Error()
 			return false
 		}
-		informed := 0
+		withReports := 0
 		for _, n := range report.List {
 			if n.HealthReports > 0 {
-				informed++
+				withReports++
 			}
 		}
-		lastState = fmt.Sprintf("links up %v, %d of %d were told something", report.NodesByLinks, informed, nodes)
-		return report.NodesByLinks[links] == nodes && informed == nodes
+		lastState = fmt.Sprintf("nodes by links up %v, %d of %d nodes have health reports", report.NodesByLinks, withReports, nodes)
+		return report.NodesByLinks[links] == nodes && withReports == nodes
 	})
 	if err != nil {
 		return took, fmt.Errorf("%w: %s\n%s", err, lastState, p.Log())
@@ -224,7 +224,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for i, p := range processes { // only now, as the query has a cost as well
+	for i, p := range processes { // after the measurement, as the query has a cost itself
 		report, err := p.Report(1)
 		if err != nil {
 			return nil, err
--- a/internal/testing/hollow/meter_test.go
+++ b/internal/testing/hollow/meter_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("traffic %+v, want 2 sizes, that of 2 instances first, and 5 fits", traffic)
 	}
 	small, large := traffic.Sizes[0].Director, traffic.Sizes[1].Director // 2 and 5 instances
-	// To each other instance pings and as many pongs take 47 bytes a second each, beside health reports and messages of jobs.
+	// Pings to another instance take 47 bytes a second, and so do pongs. Health reports and messages of jobs come on top.
 	const minBytes = 80.0
 	if small.Received < minBytes || small.Written < minBytes {
 		t.Errorf("with 2 instances %+v, want at least %v bytes a second in each direction", small, minBytes)
@@ -59,16 +59,16 @@
 	}
 	small, large := traffic.Sizes[0], traffic.Sizes[1] // 4 and 16 directors
 	if small.Director.Received < 100 {
-		t.Errorf("of 4 directors one receives %.0f bytes a second, want at least 100", small.Director.Received)
+		t.Errorf("each of 4 directors receives %.0f bytes a second, want at least 100", small.Director.Received)
 	}
 	if large.Director.Received > 2*small.Director.Received || large.Director.Written > 2*small.Director.Written {
-		t.Errorf("of 16 directors one has %+v, want at most twice the bytes of %+v", large.Director, small.Director)
+		t.Errorf("each of 16 directors has %+v, want at most twice the bytes of %+v", large.Director, small.Director)
 	}
 	if large.Control.Written <= small.Control.Written {
 		t.Errorf("a control machine writes %.0f bytes a second to 16 directors, want more than %.0f", large.Control.Written, small.Control.Written)
 	}
 	if large.ControlMax.Written < large.Control.Written {
-		t.Errorf("the most that a control machine writes is %.0f bytes a second, want at least the mean %.0f", large.ControlMax.Written,
+		t.Errorf("the busiest control machine writes %.0f bytes a second, want at least the mean %.0f", large.ControlMax.Written,
 			large.Control.Written)
 	}
 	if large.Control.Cores <= 0 || large.Control.Goroutines == 0 {
--- a/internal/testing/hollow/missing.go
+++ b/internal/testing/hollow/missing.go
@@ -46,8 +46,8 @@
 	PublishedAt  int64  `json:"published_ns"` // Unix nanoseconds; 0 if unknown
 }
 
-// comparison collects the missing events. Its methods are called under the checker's lock.
-type comparison struct {
+// eventComparison collects the missing events. Its methods are called under the checker's lock.
+type eventComparison struct {
 	checker   *Checker
 	observers []*Observer        // in the order of names
 	lacking   map[*Observer]bool // observers whose director lacks an event
@@ -60,27 +60,27 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	byName := func(a, b *Observer) int { return cmp.Compare(a.name, b.name) }
-	compared := comparison{
+	comparison := eventComparison{
 		checker:   c,
 		observers: slices.SortedFunc(maps.Values(c.observers), byName),
 		lacking:   map[*Observer]bool{},
 		missing:   Missing{Unchecked: c.unchecked, List: []MissingEvent{}, WithoutEvents: []string{}},
 	}
-	compared.findMissing(published)
+	comparison.findMissing(published)
 	for key, complete := range c.completeKeys {
 		if !complete {
-			compared.findBehind(int32(key))
+			comparison.findBehind(int32(key))
 		}
 	}
-	compared.findWithoutEvents()
-	compared.missing.Directors = len(compared.lacking)
-	return compared.missing
+	comparison.findWithoutEvents()
+	comparison.missing.Directors = len(comparison.lacking)
+	return comparison.missing
 }
 
 // findMissing finds the events of complete keys that some directors lack.
-func (c *comparison) findMissing(published TimeRange) {
+func (c *eventComparison) findMissing(published TimeRange) {
 	var digest uint64
-	everywhere := intersection(c.observers, len(c.checker.events))
+	acceptedByAll := intersection(c.observers, len(c.checker.events))
 	for i, event := range c.checker.events {
 		if !c.checker.completeKeys[event.id.key] || !published.contains(event.published) {
 			continue
@@ -88,7 +88,7 @@
 		index := int32(i)
 		c.missing.Events++
 		digest ^= c.checker.digestOf(event.id)
-		if everywhere.has(index) {
+		if acceptedByAll.has(index) {
 			continue
 		}
 		c.missing.Incomplete++
@@ -103,7 +103,7 @@
 }
 
 // findBehind finds the directors that lack the newest event of a key.
-func (c *comparison) findBehind(key int32) {
+func (c *eventComparison) findBehind(key int32) {
 	var newest newestEvent
 	for _, o := range c.observers {
 		if own := o.newest[key]; own.newer(newest) {
@@ -119,7 +119,7 @@
 }
 
 // findWithoutEvents lists the directors that accepted no event at all.
-func (c *comparison) findWithoutEvents() {
+func (c *eventComparison) findWithoutEvents() {
 	for _, o := range c.observers {
 		if o.tally.Accepted == 0 && len(c.missing.WithoutEvents) < maxListed {
 			c.missing.WithoutEvents = append(c.missing.WithoutEvents, o.name)
@@ -128,7 +128,7 @@
 }
 
 // addMissing records that a director lacks an event.
-func (c *comparison) addMissing(o *Observer, id eventID, published int64) {
+func (c *eventComparison) addMissing(o *Observer, id eventID, published int64) {
 	c.lacking[o] = true
 	if len(c.missing.List) < maxListed {
 		c.missing.List = append(c.missing.List, MissingEvent{o.name, c.checker.names[id.key], id.token, id.run, published})
--- a/internal/testing/hollow/node.go
+++ b/internal/testing/hollow/node.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file holds one node of a host, and the idle director that stands behind it.
+// This file holds one node of a host, and the idle director that it reports health to.
 
 import (
 	"fmt"
@@ -31,7 +31,7 @@
 type participant interface {
 	Reload(config *clusterconfig.File) error
 	Leave() // hands over all jobs and ends
-	Close() // ends at once
+	Close() // ends immediately
 }
 
 // start starts the node in the role that the cluster configuration gives it.
@@ -49,7 +49,7 @@
 		n.member, err = cluster.Start(config, n.Name, n.director, log)
 		n.participant = n.member
 	default:
-		err = fmt.Errorf("%s names nobody of this name", n.ConfigFile)
+		err = fmt.Errorf("%s has no node of this name", n.ConfigFile)
 	}
 	return err
 }
@@ -65,7 +65,7 @@
 	return time.Duration(n.longestUnlinked.Load())
 }
 
-// idleDirector is a director that no client uses, in front of made-up machines that are always healthy. It counts the health
+// idleDirector is a director that no client uses, in front of fake machines that are always healthy. It counts the health
 // checks that the cluster requests from it and the health reports that it receives.
 type idleDirector struct {
 	machines            []director.Machine
@@ -91,11 +91,11 @@
 	}
 }
 
-// parentEvery is the distance between two parents among made-up machines. All others are caches.
+// Every parentEvery-th fake machine is a parent. All others are caches.
 const parentEvery = 10
 
-// madeUpMachines returns a number of machines that do not exist. All nodes share the same list.
-func madeUpMachines(number int) (all []director.Machine) {
+// fakeMachines returns a number of machines that do not exist. All nodes share the same list.
+func fakeMachines(number int) (all []director.Machine) {
 	for i := range number {
 		all = append(all, director.Machine{ID: uint32(i + 1), Parent: i%parentEvery == parentEvery-1})
 	}
--- a/internal/testing/hollow/observer.go
+++ b/internal/testing/hollow/observer.go
@@ -60,7 +60,7 @@
 	return e.run > other.run
 }
 
-// Accept checks an event that the director accepts now.
+// Accept checks an event that the director accepts at the given time.
 func (o *Observer) Accept(event *changefeed.Event, now time.Time) {
 	info, readable := readEvent(event)
 	o.checker.mu.Lock()
@@ -69,7 +69,8 @@
 	o.checkOrder(event)
 	if !readable {
 		o.tally.Unreadable++
-		o.addViolation("unread: number %d of %s/%d, key %q, %d bytes", event.Number, event.Origin, event.Epoch, event.Key, len(event.Payload))
+		o.addViolation("unreadable: number %d of %s/%d, key %q, %d bytes", event.Number, event.Origin, event.Epoch, event.Key,
+			len(event.Payload))
 		return
 	}
 	if info.published != 0 {
@@ -83,8 +84,8 @@
 	}
 	if o.accepted.has(index) {
 		o.tally.Duplicates++
-		o.addViolation("doubled: number %d of %s/%d, key %q, run %d under %d", event.Number, event.Origin, event.Epoch, event.Key,
-			info.run, info.token)
+		o.addViolation("duplicate: number %d of %s/%d, key %q, run %d with fencing token %d", event.Number, event.Origin,
+			event.Epoch, event.Key, info.run, info.token)
 		return
 	}
 	o.accepted.set(index)
@@ -101,7 +102,7 @@
 	switch {
 	case known && event.Number <= last:
 		o.tally.OutOfOrder++
-		o.addViolation("disordered: number %d of %s/%d after %d", event.Number, event.Origin, event.Epoch, last)
+		o.addViolation("out of order: number %d of %s/%d after %d", event.Number, event.Origin, event.Epoch, last)
 		return
 	case !known && len(o.numbers) >= maxIncarnations:
 		o.checker.unchecked++
@@ -121,8 +122,8 @@
 		if last.origin != event.Origin {
 			o.tally.StaleAcrossOrigins++
 		}
-		o.addViolation("stale: key %q, run %d under %d of %s after run %d under %d of %s", event.Key, info.run, info.token,
-			event.Origin, last.run, last.token, last.origin)
+		o.addViolation("stale: key %q, run %d with fencing token %d of %s after run %d with fencing token %d of %s", event.Key, info.run,
+			info.token, event.Origin, last.run, last.token, last.origin)
 		return
 	}
 	o.newest[key] = current
--- a/internal/testing/hollow/process.go
+++ b/internal/testing/hollow/process.go
@@ -51,8 +51,8 @@
 func (l *boundedLog) Write(text []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept := min(len(text), maxLogBytes-len(l.raw))
-	l.raw = append(l.raw, text[:kept]...)
+	length := min(len(text), maxLogBytes-len(l.raw))
+	l.raw = append(l.raw, text[:length]...)
 	return len(text), nil
 }
 
@@ -86,7 +86,7 @@
 		p.command.Env = append(p.command.Env, "GOMAXPROCS="+strconv.Itoa(threads))
 	}
 	p.command.Stderr = &p.log
-	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends it even if its parent is killed
+	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the process even if its parent is killed
 	if p.stdin, err = p.command.StdinPipe(); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	}
 	if err != nil {
 		p.Kill()
-		return fmt.Errorf("hollow: the process says nothing of its desk: %w\n%s", err, p.Log())
+		return fmt.Errorf("hollow: no valid ready line from the process: %w\n%s", err, p.Log())
 	}
 	p.Address = ready.Address
 	return nil
@@ -148,7 +148,7 @@
 // Signal sends a signal to the process. SIGHUP makes it reload its cluster configuration files.
 func (p *Process) Signal(signal syscall.Signal) error { return p.command.Process.Signal(signal) }
 
-// Kill ends the process at once and waits for its end.
+// Kill ends the process immediately and waits for its end.
 func (p *Process) Kill() {
 	p.command.Process.Kill()
 	p.stdin.Close()
@@ -156,25 +156,25 @@
 	os.RemoveAll(p.dir)
 }
 
-// Close closes the standard input of the process, at which the process ends. If it does not end within maxExitTime, Close kills
+// Close closes the standard input of the process, which makes it end. If it does not end within maxExitTime, Close kills
 // it and returns an error.
 func (p *Process) Close() error {
 	p.command.Process.Signal(syscall.SIGCONT) // a stopped process cannot end
 	p.stdin.Close()
-	return p.awaitExit("at the end of its standard input")
+	return p.awaitExit("after its standard input was closed")
 }
 
-// Shutdown sends SIGTERM, at which the process hands over its jobs and ends. If it does not end within maxExitTime, Shutdown
+// Shutdown sends SIGTERM, which makes the process hand over its jobs and end. If it does not end within maxExitTime, Shutdown
 // kills it and returns an error.
 func (p *Process) Shutdown() error {
 	if err := p.Signal(syscall.SIGTERM); err != nil {
 		return err
 	}
-	return p.awaitExit("at SIGTERM")
+	return p.awaitExit("after SIGTERM")
 }
 
-// awaitExit waits for the end of the process, or kills it after maxExitTime. The text when names the request to end, for the
-// error.
+// awaitExit waits for the end of the process, or kills it after maxExitTime. The error names the request to end by the text of
+// when.
 func (p *Process) awaitExit(when string) error {
 	defer os.RemoveAll(p.dir)
 	select {
--- a/internal/testing/hollow/process_test.go
+++ b/internal/testing/hollow/process_test.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// checkEnds ends the processes, each in another way, and checks that they and their files are gone.
+// checkEnds ends the processes in different ways, and checks that they and their files are gone.
 func checkEnds(t *testing.T, hosts []*Process, control *ControlPlane) {
 	t.Helper()
 	var pids []int
@@ -143,7 +143,7 @@
 	if err := hosts[0].Shutdown(); err != nil {
 		t.Error(err)
 	}
-	hosts[1].Signal(syscall.SIGSTOP) // Close continues a stopped process first
+	hosts[1].Signal(syscall.SIGSTOP) // Close resumes a stopped process first
 	if err := hosts[1].Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/testing/hollow/queries.go
+++ b/internal/testing/hollow/queries.go
@@ -44,7 +44,7 @@
 		var query Query
 		if len(raw) > 0 {
 			if err := json.Unmarshal(raw, &query); err != nil {
-				return nil, fmt.Errorf("hollow: a question that cannot be read: %w", err)
+				return nil, fmt.Errorf("hollow: query cannot be parsed: %w", err)
 			}
 		}
 		return handle(query)
@@ -59,7 +59,7 @@
 	}
 	rawResponse, err := peer.Query(p.Address, topic, raw, queryTimeout)
 	if err != nil {
-		return fmt.Errorf("hollow: asking process %d for %s: %w", p.PID(), topic, err)
+		return fmt.Errorf("hollow: process %d: query %s: %w", p.PID(), topic, err)
 	}
 	if response == nil {
 		return nil
--- a/internal/testing/hollow/report.go
+++ b/internal/testing/hollow/report.go
@@ -48,7 +48,7 @@
 	LongestUnlinked     float64                 `json:"without_longest_ms"` // sampled each unlinkedSamplePeriod
 	HealthReports       int64                   `json:"told"`               // reports on machines that reached the director
 	UnresponsiveReports int64                   `json:"silent"`             // the part of HealthReports on unresponsive machines
-	HealthChecks        int64                   `json:"looks"`              // checks of made-up machines
+	HealthChecks        int64                   `json:"looks"`              // checks of fake machines
 	Violations          []string                `json:"faults,omitempty"`   // the first maxListedViolations
 }
 
@@ -109,7 +109,7 @@
 			return raw, err
 		}
 		if len(r.List) == 0 {
-			return nil, errors.New("hollow: the report is too long")
+			return nil, errors.New("hollow: the report does not fit into a frame, even without a list of nodes")
 		}
 		r.Truncated, r.List = true, r.List[:len(r.List)/2]
 	}
--- a/internal/testing/hollow/report_test.go
+++ b/internal/testing/hollow/report_test.go
@@ -9,13 +9,13 @@
 
 // A report adds up every count of its readers. The test fails if a count is added to changefeed.ReaderCounts and not to the sum.
 func TestReportAddsEachReaderCount(t *testing.T) {
-	var one, sum changefeed.ReaderCounts
-	fields := reflect.ValueOf(&one).Elem()
+	var counts, sum changefeed.ReaderCounts
+	fields := reflect.ValueOf(&counts).Elem()
 	for i := range fields.NumField() {
 		fields.Field(i).SetInt(int64(i + 1))
 	}
 	for range 3 {
-		sum = addReaderCounts(sum, one)
+		sum = addReaderCounts(sum, counts)
 	}
 	added := reflect.ValueOf(sum)
 	for i := range added.NumField() {
--- a/internal/testing/hollow/usage.go
+++ b/internal/testing/hollow/usage.go
@@ -68,7 +68,7 @@
 	_, after, ok := strings.Cut(status, "\n"+name)
 	fields := strings.Fields(after)
 	if !ok || len(fields) == 0 {
-		return 0, fmt.Errorf("hollow: no %s is told of a process", name)
+		return 0, fmt.Errorf("hollow: the status of the process has no field %s", name)
 	}
 	return strconv.Atoi(fields[0])
 }
@@ -105,12 +105,12 @@
 // readSocket reads the counts of a socket of another process. It returns false if the socket is closed or is not an established
 // TCP connection.
 func readSocket(process, descriptor int) (counts socketCounts, ok bool) {
-	own, err := unix.PidfdGetfd(process, descriptor, 0)
+	duplicate, err := unix.PidfdGetfd(process, descriptor, 0)
 	if err != nil {
 		return counts, false
 	}
-	defer unix.Close(own)
-	info, err := unix.GetsockoptTCPInfo(own, unix.IPPROTO_TCP, unix.TCP_INFO)
+	defer unix.Close(duplicate)
+	info, err := unix.GetsockoptTCPInfo(duplicate, unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil || info.State != tcpEstablished {
 		return counts, false
 	}
--- a/internal/testing/hollow/usage_test.go
+++ b/internal/testing/hollow/usage_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	after := before
-	for after.CPU < before.CPU+200*time.Millisecond { // reading the usage takes processor time itself
+	for after.CPU < before.CPU+200*time.Millisecond { // each reading of the usage takes processor time
 		if after, err = ReadUsage(os.Getpid()); err != nil {
 			t.Fatal(err)
 		}
@@ -57,7 +57,7 @@
 }
 
 // The usage of a process that does not exist cannot be read.
-func TestUsageOfNoProcess(t *testing.T) {
+func TestUsageOfMissingProcess(t *testing.T) {
 	if usage, err := ReadUsage(1 << 30); err == nil {
 		t.Errorf("usage %+v, want an error", usage)
 	}
--- a/internal/testing/hollow/window.go
+++ b/internal/testing/hollow/window.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file measures how long events take from their publishing until a director accepts them, in windows of a trial.
+// This file measures how long events take from their publishing until a director accepts them, separately for windows of a trial.
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 
 const microsecondsPerMillisecond = 1000
 
-// window is a part of a trial whose latencies are recorded apart.
+// window is a part of a trial whose latencies are recorded separately.
 type window struct {
 	name       string
 	start      time.Time
@@ -27,13 +27,13 @@
 	earlierFor time.Duration           // from start until the last earlier event was accepted
 }
 
-// BeginWindow begins another window. Events published before it are counted apart. It returns an error if there are maxWindows
+// BeginWindow begins another window. Events published before it are counted separately. It returns an error if there are maxWindows
 // already.
 func (c *Checker) BeginWindow(name string, now time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.windows) >= maxWindows {
-		return fmt.Errorf("hollow: %d windows are the most", maxWindows)
+		return fmt.Errorf("hollow: there are %d latency windows already, which is the maximum", maxWindows)
 	}
 	latency := hdrhistogram.New(1, maxLatency.Microseconds(), latencyDigits)
 	c.windows = append(c.windows, &window{name: name, start: now, latency: latency})
