--- a/cmd/indigochute/scaling_test.go
+++ b/cmd/indigochute/scaling_test.go
@@ -106,7 +106,7 @@
 	}{
 		{"package that does not build", printing(benchmarkOutput()) + "echo 'FAIL " + module + "/y [build failed]'\nexit 1\n",
 			"not run or not read: " + module + "/y [build failed]", true},
-		{"value that is no number", printing(benchmarkOutput()) + "echo 'BenchmarkScaleX/n=1 1 two ns/op'\n", `"two" is no value`, true},
+		{"value that is no number", printing(benchmarkOutput()) + "echo 'BenchmarkScaleX/n=1 1 two ns/op'\n", `"two" is not a finite value`, true},
 		{"no benchmark", "echo PASS\n", "no benchmark by size matches", false},
 		{"go test fails", "exit 2\n", "go test: exit status 2", false},
 	}
--- a/internal/testing/scaling/fit.go
+++ b/internal/testing/scaling/fit.go
@@ -1,7 +1,7 @@
 package scaling
 
-// This file fits a line through the smaller sizes of each figure, and compares its prediction for the largest size with what
-// was measured there.
+// This file fits a line through the smaller sizes of each figure, and compares its prediction for the largest size with the
+// measured value.
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	minSizes       = 3
 	minFittedSizes = 2 // sizes up to half of the largest
 
-	// shareFloor bounds the value that a share is taken of: it is at least the largest value of the figure divided by
-	// shareFloor. The share of a value close to 0 among much larger ones would mean nothing.
+	// Shares are relative to a value that is raised to at least the largest value of the figure divided by shareFloor. A share
+	// of a value close to 0 would be meaningless if the other values are much larger.
 	shareFloor = 1000
 )
 
@@ -83,7 +83,7 @@
 	}
 }
 
-// bestShape returns Constant if the spread is within Bound, and otherwise the shape with the smallest misfit.
+// bestShape returns Constant if the spread is within the tolerance, and otherwise the shape with the smallest misfit.
 func (g *Growth) bestShape() Shape {
 	if g.Spread <= Bound {
 		return Constant
@@ -95,7 +95,7 @@
 // series holds the medians of a figure, in the order of sizes.
 type series struct {
 	sizes, values []float64
-	fitted        int     // number of sizes, from the smallest on, through which lines are fitted: up to half of the largest size
+	fitted        int     // number of sizes up to half of the largest; lines are fitted through these
 	largest       float64 // largest absolute value
 }
 
@@ -114,7 +114,7 @@
 	return s
 }
 
-// share returns a part as a share of the absolute value, which is bounded below as shareFloor says.
+// share returns a part as a share of the absolute value. A value close to 0 is raised first, see shareFloor.
 func (s *series) share(part, value float64) float64 {
 	if part == 0 {
 		return 0
--- a/internal/testing/scaling/fit_test.go
+++ b/internal/testing/scaling/fit_test.go
@@ -10,11 +10,11 @@
 	"testing"
 )
 
-// directors are the sizes of printed benchmarks.
+// directors are the sizes of the benchmarks in benchmarkOutput.
 var directors = []float64{36, 72, 145, 290, 580}
 
-// printed returns the output of go test for one benchmark whose ns/op are a function of its size.
-func printed(name string, value func(size float64) float64) string {
+// benchmarkOutput returns the output of go test for one benchmark whose ns/op are a function of its size.
+func benchmarkOutput(name string, value func(size float64) float64) string {
 	text := "goos: linux\npkg: example/x\ncpu: some\n"
 	for _, size := range directors {
 		text += fmt.Sprintf("Benchmark%s/directors=%.0f-8 \t     100\t  %.9g ns/op\n", name, size, value(size))
@@ -39,7 +39,7 @@
 // near reports whether two numbers are equal except for rounding.
 func near(got, want float64) bool { return math.Abs(got-want) <= 1e-6*max(1, math.Abs(want)) }
 
-// The shape of each figure is recognized. The verdict tells whether the line through the smaller sizes predicts the largest.
+// The shape of each figure is recognized. The verdict states whether the line through the smaller sizes predicts the largest.
 func TestShapesAndVerdicts(t *testing.T) {
 	noise := func(n float64) float64 { return 1 + 0.04*math.Sin(n) }
 	for _, test := range []struct {
@@ -67,7 +67,7 @@
 		}, "", NotPredicted},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			g := fitOne(t, printed("ScaleX", test.value))
+			g := fitOne(t, benchmarkOutput("ScaleX", test.value))
 			if g.Verdict != test.wantVerdict {
 				t.Errorf("verdict %q, want %q: error %.3f of %+v", g.Verdict, test.wantVerdict, g.Error, g.Line)
 			}
@@ -94,7 +94,7 @@
 
 // The line through points that lie on a line predicts the largest size exactly.
 func TestLineThroughExactPoints(t *testing.T) {
-	g := fitOne(t, printed("ScaleX", func(n float64) float64 { return 100 + 10*n }))
+	g := fitOne(t, benchmarkOutput("ScaleX", func(n float64) float64 { return 100 + 10*n }))
 	checkLine(t, g.Line, 10, 100, []float64{0, 0, 0, 0})
 	if g.Line.MaxResidual > 1e-9 {
 		t.Errorf("largest residual %v, want 0", g.Line.MaxResidual)
@@ -107,7 +107,7 @@
 	}
 }
 
-// The line through scattered points has the least-squares parameters, whatever the order of the output.
+// The line through scattered points has the least-squares parameters, for output in any order of sizes.
 func TestLineThroughScatteredPoints(t *testing.T) {
 	text := "pkg: p\n"
 	for _, point := range []struct{ size, value int }{{3, 6}, {10, 20}, {1, 1}, {2, 2}} {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Half of the largest size is still part of the line, but no size above it.
+// The line is fitted through the sizes up to and including half of the largest.
 func TestLineEndsAtHalfOfTheLargestSize(t *testing.T) {
 	for second, want := range map[string]Verdict{"290": PredictedByLine, "291": TooFewSizes} {
 		text := ""
@@ -140,10 +140,10 @@
 }
 
 // With -count the value of a size is the median of its runs, so that one slow run changes nothing.
-func TestSizeCountsByItsMedian(t *testing.T) {
+func TestValueOfSizeIsMedianOfRuns(t *testing.T) {
 	text := ""
 	for _, added := range []float64{0, 0, 5000} {
-		text += printed("ScaleX", func(n float64) float64 { return 50*n + added*math.Mod(n, 7) })
+		text += benchmarkOutput("ScaleX", func(n float64) float64 { return 50*n + added*math.Mod(n, 7) })
 	}
 	g := fitOne(t, text)
 	if !near(g.Line.Slope, 50) || g.Verdict != PredictedByLine {
@@ -154,7 +154,7 @@
 	}
 }
 
-// The median of an even number of runs is the mean of the middle two. A single size is too few.
+// The median of an even number of runs is the mean of the middle two. A single size is too few for a line.
 func TestMedianOfTwoRuns(t *testing.T) {
 	g := fitOne(t, "BenchmarkScaleX/n=1 1 4 B/op\nBenchmarkScaleX/n=1 1 1 B/op\n")
 	if want := (Point{Size: 1, Median: 2.5, Min: 1, Max: 4, Runs: 2}); g.Points[0] != want {
@@ -167,7 +167,7 @@
 
 // A figure with some values of 0 has finite shares, so that JSON can represent them.
 func TestSharesOfZeroAreFinite(t *testing.T) {
-	g := fitOne(t, printed("ScaleX", func(n float64) float64 { return max(0, n-100) }))
+	g := fitOne(t, benchmarkOutput("ScaleX", func(n float64) float64 { return max(0, n-100) }))
 	if g.Verdict != NotPredicted || math.IsInf(g.Line.MaxResidual, 0) {
 		t.Errorf("verdict %q, largest residual %v, want %q and a finite one", g.Verdict, g.Line.MaxResidual, NotPredicted)
 	}
--- a/internal/testing/scaling/parse.go
+++ b/internal/testing/scaling/parse.go
@@ -39,13 +39,13 @@
 	sizePart      = regexp.MustCompile(`^([A-Za-z]+)=([0-9]+)$`)
 )
 
-var errNoSize = errors.New("no size in its name")
+var errNoSize = errors.New("no size in the benchmark's name")
 
 // parser parses the output line by line.
 type parser struct {
 	output        Output
-	pkg           string          // package of the lines that follow
-	failureListed map[string]bool // packages of which a failed benchmark is listed
+	pkg           string          // package of the lines that are parsed now
+	failureListed map[string]bool // packages that have a failed benchmark in the list
 }
 
 // Parse parses the output of go test. It skips the lines of other benchmarks and all other lines. A benchmark that skips itself
@@ -104,16 +104,16 @@
 		return nil, err
 	}
 	if iterations, err := strconv.ParseInt(words[1], 10, 64); err != nil || iterations < 1 {
-		return nil, fmt.Errorf("%q is no number of iterations", words[1])
+		return nil, fmt.Errorf("%q is not a number of iterations", words[1])
 	}
 	values := words[2:]
 	if len(values) == 0 || len(values)%2 != 0 {
-		return nil, fmt.Errorf("%d words where pairs of value and unit are expected", len(values))
+		return nil, fmt.Errorf("%d words after the number of iterations, want pairs of value and unit", len(values))
 	}
 	for pair := range slices.Chunk(values, 2) {
 		value, unit := pair[0], pair[1]
 		if m.Value, err = strconv.ParseFloat(value, 64); err != nil || math.IsNaN(m.Value) || math.IsInf(m.Value, 0) {
-			return nil, fmt.Errorf("%q is no value", value)
+			return nil, fmt.Errorf("%q is not a finite value", value)
 		}
 		if unit == inverseUnit {
 			continue
@@ -124,8 +124,8 @@
 	return measurements, nil
 }
 
-// parseName parses the name of a benchmark. The first part of the form UNIT=NUMBER is its size. All other parts belong to its
-// name.
+// parseName parses the name of a benchmark. The first part of the form UNIT=NUMBER is the size. All other parts remain in
+// Measurement.Benchmark.
 func parseName(text string) (m Measurement, err error) {
 	name := benchmarkName.FindStringSubmatch(text)
 	if name == nil {
@@ -140,7 +140,7 @@
 		}
 		m.SizeUnit = size[1]
 		if m.Size, err = strconv.ParseFloat(size[2], 64); err != nil || math.IsInf(m.Size, 0) {
-			return m, fmt.Errorf("%q is no size", size[2])
+			return m, fmt.Errorf("%q is not a finite size", size[2])
 		}
 	}
 	if m.SizeUnit == "" {
--- a/internal/testing/scaling/parse_test.go
+++ b/internal/testing/scaling/parse_test.go
@@ -14,11 +14,11 @@
 	output := Parse("pkg: a/b\nBenchmarkScaleX/held=yes/objects=1000/kind=2-3   7   12.5 ns/op  80 MB/s  3 B/msg  0 allocs/op\n" +
 		"BenchmarkOther/directors=7 1 2 ns/op\nBenchmarkScaleX/held=yes/objects=1000/kind=2-3\n" +
 		"    bench_test.go:7: BenchmarkScaleX/n=1 is told here\nBenchmarkScaleY/n=5 1 1e+06 keeper-ns/beat\n")
-	const held = "ScaleX/held=yes/kind=2"
+	const wantName = "ScaleX/held=yes/kind=2"
 	want := []Measurement{
-		{Package: "a/b", Benchmark: held, SizeUnit: "objects", Size: 1000, Unit: "ns/op", Value: 12.5},
-		{Package: "a/b", Benchmark: held, SizeUnit: "objects", Size: 1000, Unit: "B/msg", Value: 3},
-		{Package: "a/b", Benchmark: held, SizeUnit: "objects", Size: 1000, Unit: "allocs/op", Value: 0},
+		{Package: "a/b", Benchmark: wantName, SizeUnit: "objects", Size: 1000, Unit: "ns/op", Value: 12.5},
+		{Package: "a/b", Benchmark: wantName, SizeUnit: "objects", Size: 1000, Unit: "B/msg", Value: 3},
+		{Package: "a/b", Benchmark: wantName, SizeUnit: "objects", Size: 1000, Unit: "allocs/op", Value: 0},
 		{Package: "a/b", Benchmark: "ScaleY", SizeUnit: "n", Size: 5, Unit: "keeper-ns/beat", Value: 1e6},
 	}
 	if len(output.Failures) > 0 {
@@ -62,7 +62,7 @@
 
 // A size that failed is listed, and its figure is fitted without it. Packages that could not be built are listed as well.
 func TestParseListsFailures(t *testing.T) {
-	text := printed("ScaleX", func(n float64) float64 { return 7 * n })
+	text := benchmarkOutput("ScaleX", func(n float64) float64 { return 7 * n })
 	text = strings.Replace(text, "BenchmarkScaleX/directors=145-8 \t     100\t  1015 ns/op\n",
 		"--- FAIL: BenchmarkScaleX/directors=145\n    x_test.go:1: no\n", 1)
 	text = strings.Replace(text, "PASS\nok  \texample/x\t1.2s\n",
--- a/internal/testing/scaling/scaling.go
+++ b/internal/testing/scaling/scaling.go
@@ -1,12 +1,12 @@
 // Package scaling measures how the figures of benchmarks grow with a size. It parses the output of `go test -bench` for
 // benchmarks that are named BenchmarkScaleWHAT/UNIT=SIZE. It fits a line through the sizes up to half of the largest, and
-// compares what that line predicts for the largest size with what was measured there. The package does no I/O and starts no
+// compares the prediction of that line for the largest size with the measured value. The package does no I/O and starts no
 // goroutines.
 package scaling
 
 // This file holds the result: the growth of one figure.
 
-// Bound is the largest error with which a prediction still holds, as a share of what was measured. It is also the largest spread
+// Bound is the largest error with which a prediction still holds, as a share of the measured value. It is also the largest spread
 // of a figure that counts as constant.
 const Bound = 0.15
 
@@ -24,8 +24,8 @@
 	Slope       float64   `json:"slope"`     // growth of the figure when the size grows by 1
 	Intercept   float64   `json:"intercept"` // the figure at size 0
 	Points      int       `json:"through"`   // number of points
-	Residuals   []float64 `json:"residuals"` // measured value less that of the line, for each point
-	MaxResidual float64   `json:"farthest"`  // largest absolute residual, as a share of the value measured there
+	Residuals   []float64 `json:"residuals"` // for each point, the measured value less the value of the line
+	MaxResidual float64   `json:"farthest"`  // largest absolute residual, as a share of the value measured at that point
 }
 
 // Shape is how a figure grows with its size N: a constant, or a constant plus a multiple of the named term.
@@ -39,25 +39,25 @@
 	Quadratic    Shape = "N²"
 )
 
-// Misfit tells how far one shape is from all points: the standard error of its relative residuals, with the degrees of freedom
-// that its parameters leave.
+// Misfit is the distance of one shape from all points: the standard error of its relative residuals. The degrees of freedom are the
+// number of points less the number of the shape's parameters.
 type Misfit struct {
 	Shape Shape   `json:"shape"`
 	Error float64 `json:"error"`
 }
 
-// Verdict compares the prediction for the largest size with what was measured there.
+// Verdict compares the prediction for the largest size with the measured value.
 type Verdict string
 
 // The verdicts.
 const (
-	PredictedByLine Verdict = "within 15%"    // the line predicts the largest size within Bound
-	PredictedByMean Verdict = "constant"      // the figure does not depend on the size, and its mean predicts the largest size
-	NotPredicted    Verdict = "bent"          // the prediction is off by more than Bound
-	TooFewSizes     Verdict = "too few sizes" // three are needed, two of them up to half of the largest
+	PredictedByLine Verdict = "within 15%"    // the prediction by the line holds
+	PredictedByMean Verdict = "constant"      // the figure does not depend on the size, and the prediction by its mean holds
+	NotPredicted    Verdict = "bent"          // the error of the prediction exceeds the tolerance
+	TooFewSizes     Verdict = "too few sizes" // at least three are required, two of them up to half of the largest
 )
 
-// Growth tells how one figure grows with its size. If there are too few sizes, Line and the fields after it are not set, except
+// Growth describes how one figure grows with its size. If there are too few sizes, Line and the fields after it are not set, except
 // for Measured.
 type Growth struct {
 	Package   string   `json:"package"` // import path
--- a/internal/testing/scaling/shapes.go
+++ b/internal/testing/scaling/shapes.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// shapeTerms holds the shapes, each with the term of the size of which it has a multiple; nil if it has none.
+// shapeTerms lists the shapes. Each is a constant plus a multiple of its term, or only a constant if its term is nil.
 var shapeTerms = []struct {
 	shape Shape
 	term  func(size float64) float64
@@ -19,7 +19,7 @@
 	{Quadratic, func(size float64) float64 { return size * size }},
 }
 
-// misfits fits each shape so that the sum of the squares of its relative residuals is smallest.
+// misfits fits each shape so that the sum of its squared relative residuals is minimal.
 func (s *series) misfits() (all []Misfit) {
 	weights := s.weights()
 	for _, candidate := range shapeTerms {
