--- a/internal/compat/capture_test.go
+++ b/internal/compat/capture_test.go
@@ -18,11 +18,11 @@
 
 // captureRows returns rows with each pair of a disposition and a cache status, and with the largest value of each number.
 func captureRows() (rows []capture.Row) {
-	for ending := director.Served; ending <= director.ClientGone; ending++ {
+	for disposition := director.Served; disposition <= director.ClientGone; disposition++ {
 		for fill := routing.FillUnknown; fill <= routing.OriginFailed; fill++ {
 			n := len(rows)
 			rows = append(rows, capture.Row{At: time.Duration(n) * 1234567 * time.Microsecond, Object: 0x9e3779b97f4a7c15 * uint64(n+1),
-				Part: uint32(n % 3), Group: uint32(n % 7), Class: int16(n % 2), Zone: int16(n / 2 % 2), Disposition: ending, Fill: fill,
+				Part: uint32(n % 3), Group: uint32(n % 7), Class: int16(n % 2), Zone: int16(n / 2 % 2), Disposition: disposition, Fill: fill,
 				Attempts: uint8(n % 5), RequestBytes: uint32(n * 11), ResponseBytes: uint32(n * 1011), FirstByte: time.Duration(n) * time.Millisecond,
 				Complete: time.Duration(n) * 1500 * time.Microsecond})
 		}
@@ -32,7 +32,7 @@
 	return rows
 }
 
-// TestCaptureFile: a golden capture is read as it was written, and the same rows are written with the same bytes.
+// TestCaptureFile checks that rows are written with the golden bytes, and that the golden bytes are read as these rows.
 func TestCaptureFile(t *testing.T) {
 	var b bytes.Buffer
 	if err := capture.Write(&b, captureHeader, captureRows()); err != nil {
@@ -42,7 +42,7 @@
 	readCapture(t, "capture.bin")
 }
 
-// TestCaptureWriter: the writer of a serving director writes a file of the same form. It is closed before its first frame is due, so that
+// TestCaptureWriter checks the file that the writer of a serving director writes. The writer is closed before its first frame is due, so
 // all rows are in one frame.
 func TestCaptureWriter(t *testing.T) {
 	var b bytes.Buffer
@@ -60,6 +60,7 @@
 	readCapture(t, "capture_writer.bin")
 }
 
+// readCapture checks that a golden capture is read completely, and has the same bytes after it is written again.
 func readCapture(t *testing.T, file string) {
 	t.Helper()
 	c, err := capture.Parse(readGolden(t, file))
@@ -67,25 +68,25 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(c.Header, captureHeader) || !reflect.DeepEqual(c.Rows, captureRows()) {
-		t.Errorf("read as %+v\n%+v", c.Header, c.Rows)
+		t.Errorf("the golden bytes are read as header %+v and rows\n%+v, want those of the test", c.Header, c.Rows)
 	}
 	if lines := c.Report.Notes(); len(lines) > 0 || c.Report.Frames != 3 {
-		t.Errorf("%d frames, left out: %v", c.Report.Frames, lines)
+		t.Errorf("%d frames, left out: %v, want 3 frames and nothing left out", c.Report.Frames, lines)
 	}
-	var again bytes.Buffer
-	if err := capture.Write(&again, c.Header, c.Rows); err != nil {
+	var rewritten bytes.Buffer
+	if err := capture.Write(&rewritten, c.Header, c.Rows); err != nil {
 		t.Fatal(err)
 	}
-	if raw := readGolden(t, file); !bytes.Equal(again.Bytes(), raw) {
-		t.Errorf("read and written again: %s", firstDifference(again.Bytes(), raw))
+	if raw := readGolden(t, file); !bytes.Equal(rewritten.Bytes(), raw) {
+		t.Errorf("read and written again: %s", firstDifference(rewritten.Bytes(), raw))
 	}
 }
 
-// TestStoredCaptures: the captures in the repository are read completely, with the same rows as before.
+// TestStoredCaptures checks that the captures in the repository are read completely, with the rows of the golden file.
 func TestStoredCaptures(t *testing.T) {
 	files, err := filepath.Glob("../../examples/plan/*.capture")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("%d captures: %v", len(files), err)
+		t.Fatalf("%d captures found, error %v, want at least one", len(files), err)
 	}
 	var lines bytes.Buffer
 	for _, file := range files {
@@ -93,12 +94,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var again bytes.Buffer
-		if err := capture.Write(&again, c.Header, c.Rows); err != nil {
+		var rewritten bytes.Buffer
+		if err := capture.Write(&rewritten, c.Header, c.Rows); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&lines, "%s frames=%d rows=%d left_out=%d sha256=%x\n", filepath.Base(file), c.Report.Frames, len(c.Rows), len(c.Report.Notes()),
-			sha256.Sum256(again.Bytes()))
+			sha256.Sum256(rewritten.Bytes()))
 	}
 	golden(t, "stored_captures.txt", lines.Bytes())
 }
--- a/internal/compat/cluster_test.go
+++ b/internal/compat/cluster_test.go
@@ -15,23 +15,23 @@
 	"indigochute.example/indigochute/internal/peer"
 )
 
-// maskedSmall replaces fencing tokens, runs, epochs and ages in payloads, which differ from run to run.
-const maskedSmall = 77
+// maskedSmallNumber replaces the fencing tokens, runs, epochs and ages in payloads, which differ between runs of a test.
+const maskedSmallNumber = 77
 
 // twoMachines emulates a director with two caches, one of which is unresponsive.
-type twoMachines struct{ told chan string }
+type twoMachines struct{ reports chan string }
 
 func (twoMachines) Machines() []director.Machine {
 	return []director.Machine{{ID: 0x331d10af, StartedUnix: 1_700_000_000_123}, {ID: 1}}
 }
 
-func (twoMachines) CheckMachine(m director.Machine, _ time.Duration, _, _ string) (alive, asked bool) {
+func (twoMachines) CheckMachine(m director.Machine, _ time.Duration, _, _ string) (alive, checked bool) {
 	return m.ID != 1, true
 }
 
 func (d twoMachines) PeerHealth(id uint32, started int64, alive bool, _ time.Duration) {
 	select {
-	case d.told <- fmt.Sprintf("%d started %d alive %t", id, started, alive):
+	case d.reports <- fmt.Sprintf("%d started %d alive %t", id, started, alive):
 	default:
 	}
 }
@@ -47,7 +47,7 @@
 	return l.Addr().String()
 }
 
-// parseCluster reads an operator file. Addresses replace the %s in its text.
+// parseCluster parses the text of a cluster configuration file. Addresses replace the verbs in the text.
 func parseCluster(t *testing.T, text string, addresses ...any) *clusterconfig.File {
 	t.Helper()
 	f, err := clusterconfig.Parse("cluster.yaml", fmt.Appendf(nil, text, addresses...), "")
@@ -66,43 +66,43 @@
 	t.Cleanup(c.Close)
 }
 
-// rawMember is another instance, emulated on raw sockets. It votes for each candidate, until its test ends.
+// rawMember is another instance, emulated on raw sockets. It votes for each candidate until its test ends.
 type rawMember struct {
-	from, to net.Conn // connections dialled by the instance under test, and by this one
-	fromLife uint64   // incarnation of the instance under test
-	messages chan rawFrame
-	ended    error // why messages was closed
+	inbound, outbound   net.Conn // connections dialled by the instance under test and by the raw member
+	instanceIncarnation uint64   // incarnation of the instance under test
+	messages            chan rawFrame
+	serveErr            error // error after which messages was closed
 }
 
 // joinRaw connects a raw member and an instance, in both directions.
 func joinRaw(t *testing.T, name string, l net.Listener, instance string) *rawMember {
 	t.Helper()
-	m := &rawMember{from: accept(t, l), messages: make(chan rawFrame, 4096)}
-	hello := readFrame(t, m.from)
-	write(t, m.from, helloFrame(name, testLife, hello.from))
-	m.to = dial(t, instance)
-	write(t, m.to, helloFrame(name, testLife, 0))
-	m.fromLife = readFrame(t, m.to).from
+	m := &rawMember{inbound: accept(t, l), messages: make(chan rawFrame, 4096)}
+	hello := readFrame(t, m.inbound)
+	write(t, m.inbound, helloFrame(name, testIncarnation, hello.incarnation))
+	m.outbound = dial(t, instance)
+	write(t, m.outbound, helloFrame(name, testIncarnation, 0))
+	m.instanceIncarnation = readFrame(t, m.outbound).incarnation
 	go m.serve()
 	return m
 }
 
-// serve responds to pings and to requests for a vote until the connection ends, and passes on messages. Without its responses, the
-// instance under test would lose its lease while the test waits.
+// serve responds to pings and to requests for a vote until the connection ends, and sends all messages to the channel. Without these
+// responses, the instance under test would lose its lease while the test waits.
 func (m *rawMember) serve() {
 	defer close(m.messages)
 	for {
-		f, err := tryReadFrame(m.from)
+		f, err := tryReadFrame(m.inbound)
 		switch {
 		case err != nil:
 		case f.kind == framePing:
-			_, err = m.from.Write(numberFrame(framePong, 0)) // the number only states the time on the way
+			_, err = m.inbound.Write(numberFrame(framePong, 0)) // the number only serves to measure the round-trip time
 		case f.kind == frameData:
 			err = m.vote(f)
 			m.messages <- f
 		}
 		if err != nil {
-			m.ended = err
+			m.serveErr = err
 			return
 		}
 	}
@@ -114,114 +114,116 @@
 	if err != nil || message.Kind != lease.VoteRequest {
 		return nil
 	}
-	answer := lease.Message{Kind: lease.Vote, Term: message.Term, Sequence: message.Sequence, Granted: true}
-	_, err = m.to.Write(dataFrame(testLife, m.fromLife, f.topic, lease.Append(nil, &answer)))
+	vote := lease.Message{Kind: lease.Vote, Term: message.Term, Sequence: message.Sequence, Granted: true}
+	_, err = m.outbound.Write(dataFrame(testIncarnation, m.instanceIncarnation, f.topic, lease.Append(nil, &vote)))
 	return err
 }
 
-// gather waits until a message of each topic has come, and returns the last payload of each.
-func (m *rawMember) gather(t *testing.T, accepts map[string]func(payload []byte) bool) map[string][]byte {
+// awaitTopics waits until each topic has had a message whose payload the topic's function accepts. It returns the last accepted payload of
+// each topic.
+func (m *rawMember) awaitTopics(t *testing.T, accepts map[string]func(payload []byte) bool) map[string][]byte {
 	t.Helper()
-	heard := map[string][]byte{}
-	for late := time.After(4 * waitLimit); len(heard) < len(accepts); {
+	payloads := map[string][]byte{}
+	for timeout := time.After(4 * waitTimeout); len(payloads) < len(accepts); {
 		select {
 		case f, open := <-m.messages:
 			if !open {
-				t.Fatal(m.ended)
+				t.Fatal(m.serveErr)
 			}
 			if accept := accepts[f.topic]; accept == nil {
-				t.Errorf("a message of topic %q", f.topic)
+				t.Errorf("unexpected message of topic %q", f.topic)
 			} else if accept(f.payload) {
-				heard[f.topic] = f.payload
+				payloads[f.topic] = f.payload
 			}
-		case <-late:
-			t.Fatalf("topics heard: %d of %d", len(heard), len(accepts))
+		case <-timeout:
+			t.Fatalf("messages of %d topics received, want %d", len(payloads), len(accepts))
 		}
 	}
-	return heard
+	return payloads
 }
 
 func anyPayload([]byte) bool { return true }
 
-// maskedNews returns a payload of health reports in a fixed order, with the values replaced that differ from run to run.
-func maskedNews(t *testing.T, payload []byte) []byte {
+// maskedHealthReport returns a payload of health reports in a fixed order. It masks the values that differ between runs of a test.
+func maskedHealthReport(t *testing.T, payload []byte) []byte {
 	t.Helper()
-	n, err := lease.ParseHealthReport(payload)
-	if err != nil || n.Fence == 0 || n.Run == 0 || len(n.Machines) != 2 {
-		t.Fatalf("reports %+v: %v", n, err)
+	report, err := lease.ParseHealthReport(payload)
+	if err != nil || report.Fence == 0 || report.Run == 0 || len(report.Machines) != 2 {
+		t.Fatalf("health report %+v, error %v, want a token, a run and two machines", report, err)
 	}
-	n.Fence, n.Run = maskedSmall, maskedSmall
-	if n.Machines[0].Node == 1 {
-		n.Machines[0], n.Machines[1] = n.Machines[1], n.Machines[0]
+	report.Fence, report.Run = maskedSmallNumber, maskedSmallNumber
+	if report.Machines[0].Node == 1 {
+		report.Machines[0], report.Machines[1] = report.Machines[1], report.Machines[0]
 	}
-	for i := range n.Machines {
-		n.Machines[i].Age = maskedSmall * time.Microsecond
+	for i := range report.Machines {
+		report.Machines[i].Age = maskedSmallNumber * time.Microsecond
 	}
-	return lease.AppendHealthReport(nil, &n)
+	return lease.AppendHealthReport(nil, &report)
 }
 
-// maskedNotes returns a payload of events, with the values replaced that differ from run to run.
-func maskedNotes(t *testing.T, list []changefeed.Event) []byte {
+// maskedEvents returns a payload of events. It masks the values that differ between runs of a test.
+func maskedEvents(t *testing.T, events []changefeed.Event) []byte {
 	t.Helper()
-	for i := range list {
-		n := &list[i]
-		n.Epoch, n.Number, n.Prev, n.Fence, n.Age = maskedSmall, maskedSmall, maskedSmall, maskedSmall, maskedSmall*time.Microsecond
-		n.Payload = maskedNews(t, n.Payload)
+	for i := range events {
+		event := &events[i]
+		event.Epoch, event.Number, event.Prev, event.Fence, event.Age =
+			maskedSmallNumber, maskedSmallNumber, maskedSmallNumber, maskedSmallNumber, maskedSmallNumber*time.Microsecond
+		event.Payload = maskedHealthReport(t, event.Payload)
 	}
-	return changefeed.AppendEvents(nil, list)
+	return changefeed.AppendEvents(nil, events)
 }
 
-const clusterTimes = "lease: 600ms\nbeat: 100ms\n"
+const clusterTimings = "lease: 600ms\nbeat: 100ms\n"
 
-// TestInstanceTopics: the messages of an instance to another one and the calls of a duty to an address, by topic.
+// TestInstanceTopics checks the messages from one instance to another, and the calls of a job to an address, by topic.
 func TestInstanceTopics(t *testing.T) {
 	l, me := listen(t), freeAddress(t)
-	asked := make(chan rawCall, 2)
-	desk, err := peer.OpenQueryServer("127.0.0.1:0", peer.QueryHandlers{
-		"begin": func(payload []byte) ([]byte, error) { asked <- rawCall{"begin", payload}; return nil, nil },
-		"end":   func(payload []byte) ([]byte, error) { asked <- rawCall{"end", payload}; return nil, nil },
+	calls := make(chan rawCall, 2)
+	server, err := peer.OpenQueryServer("127.0.0.1:0", peer.QueryHandlers{
+		"begin": func(payload []byte) ([]byte, error) { calls <- rawCall{"begin", payload}; return nil, nil },
+		"end":   func(payload []byte) ([]byte, error) { calls <- rawCall{"end", payload}; return nil, nil },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { desk.Close() })
-	f := parseCluster(t, "instances: [{name: n0, address: %q}, {name: n1, address: %q}]\n"+clusterTimes+
+	t.Cleanup(func() { server.Close() })
+	f := parseCluster(t, "instances: [{name: n0, address: %q}, {name: n1, address: %q}]\n"+clusterTimings+
 		"duties: [{name: probe, kind: probe, period: 100ms}, {name: sweep, kind: call, period: 1h, address: %q, timeout: 5s}]\n",
-		me, l.Addr().String(), desk.Addr())
+		me, l.Addr().String(), server.Addr())
 	startInstance(t, f, "n0")
-	heard := joinRaw(t, "n1", l, me).gather(t, map[string]func([]byte) bool{"duty": anyPayload, "news": anyPayload})
-	forms := []form{{name: "news", bytes: maskedNews(t, heard["news"])}}
+	payloads := joinRaw(t, "n1", l, me).awaitTopics(t, map[string]func([]byte) bool{"duty": anyPayload, "news": anyPayload})
+	encodings := []encoding{{name: "news", bytes: maskedHealthReport(t, payloads["news"])}}
 	for _, topic := range []string{"begin", "end"} {
 		select {
-		case q := <-asked:
-			if q.topic != topic {
-				t.Errorf("asked %q, not %q", q.topic, topic)
+		case call := <-calls:
+			if call.topic != topic {
+				t.Errorf("call of topic %q, want %q", call.topic, topic)
 			}
-			forms = append(forms, form{name: topic, bytes: q.masked(t)})
-		case <-time.After(waitLimit):
-			t.Fatalf("%q was not asked", topic)
+			encodings = append(encodings, encoding{name: topic, bytes: call.masked(t)})
+		case <-time.After(waitTimeout):
+			t.Fatalf("no call of topic %q", topic)
 		}
 	}
-	goldenForms(t, "cluster_instance.txt", forms)
+	goldenEncodings(t, "cluster_instance.txt", encodings)
 }
 
-// rawCall is a call of a duty to an address.
+// rawCall is a call of a job to an address.
 type rawCall struct {
 	topic   string
 	payload []byte
 }
 
-// masked returns the payload with the fencing token and the run replaced.
-func (q rawCall) masked(t *testing.T) []byte {
+// masked returns the payload with the fencing token and the run masked.
+func (c rawCall) masked(t *testing.T) []byte {
 	t.Helper()
-	v := msgpack.NewValues(q.payload)
+	v := msgpack.NewValues(c.payload)
 	v.List(4)
 	b := msgpack.AppendText(msgpack.AppendText(msgpack.AppendList(nil, 4), v.Text(64)), v.Text(64))
 	fence, run := v.Uint(), v.Uint()
 	if v.End() != nil || fence == 0 || run == 0 {
-		t.Errorf("%s: %x", q.topic, q.payload)
+		t.Errorf("%s: payload %x, want a list of four values with a token and a run", c.topic, c.payload)
 	}
-	return msgpack.AppendUint(msgpack.AppendUint(b, maskedSmall), maskedSmall)
+	return msgpack.AppendUint(msgpack.AppendUint(b, maskedSmallNumber), maskedSmallNumber)
 }
 
 const controlFile = `control:
@@ -231,53 +233,53 @@
 directors: [{name: d0, region: r, zone: z, site: s}]
 duties: [{name: probe, kind: probe, period: 100ms}]
 uplink: {spread: 100ms}
-` + clusterTimes
+` + clusterTimings
 
-// TestControlTopics: the messages of a control machine to another one and to a director, by topic.
+// TestControlTopics checks the messages from a control machine to another one and to a director, by topic.
 func TestControlTopics(t *testing.T) {
 	l, me := listen(t), freeAddress(t)
 	f := parseCluster(t, controlFile, me, l.Addr().String(), freeAddress(t))
 	startInstance(t, f, "c0")
 	member := joinRaw(t, "c1", l, me)
-	first := nextOf(t, subscribeRaw(t, "d0", me), frameData)
-	isTell := func(payload []byte) bool {
+	first := nextOfKind(t, subscribeRaw(t, "d0", me), frameData)
+	hasEvents := func(payload []byte) bool {
 		m, err := changefeed.ParseMessage(payload)
 		return err == nil && m.Kind == changefeed.Events
 	}
-	leases := "duty/" + f.MembershipHash()
-	heard := member.gather(t, map[string]func([]byte) bool{leases: anyPayload, "stream": isTell, "lists": anyPayload})
-	told, err := changefeed.ParseMessage(heard["stream"])
+	leaseTopic := "duty/" + f.MembershipHash()
+	payloads := member.awaitTopics(t, map[string]func([]byte) bool{leaseTopic: anyPayload, "stream": hasEvents, "lists": anyPayload})
+	message, err := changefeed.ParseMessage(payloads["stream"])
 	if err != nil {
 		t.Fatal(err)
 	}
-	list, err := changefeed.ParseEvents(nextTopic(t, subscribeRaw(t, "d0", me), "notes"))
+	events, err := changefeed.ParseEvents(nextTopic(t, subscribeRaw(t, "d0", me), "notes"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldenForms(t, "cluster_control.txt", []form{
-		{name: "topic_of_leases", bytes: []byte(leases)},
-		{name: "lists", bytes: heard["lists"]},
-		{name: "stream", bytes: maskedNotes(t, told.Events)},
+	goldenEncodings(t, "cluster_control.txt", []encoding{
+		{name: "topic_of_leases", bytes: []byte(leaseTopic)},
+		{name: "lists", bytes: payloads["lists"]},
+		{name: "stream", bytes: maskedEvents(t, message.Events)},
 		{name: "first_to_director_" + first.topic, bytes: first.payload},
-		{name: "notes", bytes: maskedNotes(t, list[:1])},
+		{name: "notes", bytes: maskedEvents(t, events[:1])},
 	})
 }
 
-// subscribeRaw subscribes a director, emulated on a raw socket, from the first event on.
+// subscribeRaw connects a director that is emulated on a raw socket, and subscribes to all events from the first one on.
 func subscribeRaw(t *testing.T, name, control string) net.Conn {
 	t.Helper()
 	nc := dial(t, control)
-	write(t, nc, helloFrame(name, testLife, 0))
+	write(t, nc, helloFrame(name, testIncarnation, 0))
 	hello := readFrame(t, nc)
-	write(t, nc, dataFrame(testLife, hello.from, "from", changefeed.AppendVector(nil, nil)))
+	write(t, nc, dataFrame(testIncarnation, hello.incarnation, "from", changefeed.AppendVector(nil, nil)))
 	return nc
 }
 
-// nextTopic reads frames until a message of a topic comes, and returns its payload.
+// nextTopic reads frames up to the next message of a topic, and returns its payload.
 func nextTopic(t *testing.T, nc net.Conn, topic string) []byte {
 	t.Helper()
 	for range 100 {
-		if f := nextOf(t, nc, frameData); f.topic == topic {
+		if f := nextOfKind(t, nc, frameData); f.topic == topic {
 			return f.payload
 		}
 	}
@@ -285,11 +287,12 @@
 	return nil
 }
 
-// TestDirectorTopics: the messages of a following director to a control machine. The director applies the messages that come back.
+// TestDirectorTopics checks the messages of a following director to a control machine, and that the director applies those that it
+// receives from there.
 func TestDirectorTopics(t *testing.T) {
 	l := listen(t)
 	f := parseCluster(t, controlFile, l.Addr().String(), freeAddress(t), freeAddress(t))
-	d := twoMachines{told: make(chan string, 1)}
+	d := twoMachines{reports: make(chan string, 1)}
 	follower, err := cluster.Follow(f, "d0", d, quietLog(), cluster.FollowerOptions{})
 	if err != nil {
 		t.Fatal(err)
@@ -297,19 +300,21 @@
 	t.Cleanup(follower.Close)
 	nc := accept(t, l)
 	hello := readFrame(t, nc)
-	write(t, nc, helloFrame("c0", testLife, hello.from))
-	greeting := nextOf(t, nc, frameData)
-	news := lease.HealthReport{Duty: "probe", Fence: 5, Run: 6, Machines: []lease.MachineHealth{{Node: 9, StartedUnix: 1_700_000_000_123, Age: time.Millisecond}}}
-	note := changefeed.Event{Origin: "c0", Epoch: 1, Number: 1, Fence: 5, Key: "news/probe", Lifetime: time.Second, Payload: lease.AppendHealthReport(nil, &news)}
-	write(t, nc, dataFrame(testLife, hello.from, "kept", msgpack.AppendBool(nil, true)))
-	write(t, nc, dataFrame(testLife, hello.from, "notes", changefeed.AppendEvents(nil, []changefeed.Event{note})))
+	write(t, nc, helloFrame("c0", testIncarnation, hello.incarnation))
+	greeting := nextOfKind(t, nc, frameData)
+	report := lease.HealthReport{Duty: "probe", Fence: 5, Run: 6,
+		Machines: []lease.MachineHealth{{Node: 9, StartedUnix: 1_700_000_000_123, Age: time.Millisecond}}}
+	event := changefeed.Event{Origin: "c0", Epoch: 1, Number: 1, Fence: 5, Key: "news/probe", Lifetime: time.Second,
+		Payload: lease.AppendHealthReport(nil, &report)}
+	write(t, nc, dataFrame(testIncarnation, hello.incarnation, "kept", msgpack.AppendBool(nil, true)))
+	write(t, nc, dataFrame(testIncarnation, hello.incarnation, "notes", changefeed.AppendEvents(nil, []changefeed.Event{event})))
 	select {
-	case got := <-d.told:
+	case got := <-d.reports:
 		if got != "9 started 1700000000123 alive false" {
-			t.Errorf("told %q", got)
+			t.Errorf("report %q, want that machine 9 is not alive", got)
 		}
-	case <-time.After(waitLimit):
-		t.Error("the note was not taken")
+	case <-time.After(waitTimeout):
+		t.Error("the event was not applied")
 	}
-	goldenForms(t, "cluster_director.txt", []form{{name: "greeting_" + greeting.topic, bytes: greeting.payload}})
+	goldenEncodings(t, "cluster_director.txt", []encoding{{name: "greeting_" + greeting.topic, bytes: greeting.payload}})
 }
--- a/internal/compat/codecs_test.go
+++ b/internal/compat/codecs_test.go
@@ -16,7 +16,7 @@
 	"indigochute.example/indigochute/internal/routing"
 )
 
-// appendRequest returns the bytes of a client's message of any kind.
+// appendRequest returns the bytes of a client's message, whose kind may be any.
 func appendRequest(m *msgpack.Message) []byte {
 	switch m.Kind {
 	case msgpack.ReadinessCheck:
@@ -27,16 +27,16 @@
 	return msgpack.AppendRequest(nil, m)
 }
 
-func requestForm(name string, m msgpack.Message) form {
-	return form{name, m, appendRequest(&m), func(raw []byte) (any, []byte, error) {
+func requestEncoding(name string, m msgpack.Message) encoding {
+	return encoding{name, m, appendRequest(&m), func(raw []byte) (any, []byte, error) {
 		m, err := msgpack.NewReader(bufio.NewReader(bytes.NewReader(raw))).Read()
 		return m, appendRequest(&m), err
 	}}
 }
 
-// answerForm is a director's response. Write returns the bytes of a response as the client reads it.
-func answerForm(name string, reply msgpack.Response, write func(msgpack.Response) []byte) form {
-	return form{name, reply, write(reply), func(raw []byte) (any, []byte, error) {
+// responseEncoding returns the encoding of a director's response to a client. The function write encodes a response.
+func responseEncoding(name string, reply msgpack.Response, write func(msgpack.Response) []byte) encoding {
+	return encoding{name, reply, write(reply), func(raw []byte) (any, []byte, error) {
 		reply, err := msgpack.ReadResponse(bufio.NewReader(bytes.NewReader(raw)))
 		return reply, write(reply), err
 	}}
@@ -47,29 +47,30 @@
 		IdempotencyKey: "k-9", Object: "7f3a9c21e0b4d655", Part: "12", Group: "3", ETag: "1700000000123", Body: []byte("body \x00\xff")}
 	long := full
 	long.ID, long.Object, long.Body = 1, longest64, make([]byte, 300)
-	done := func(a msgpack.Response) []byte { return slices.Concat(msgpack.Success(a.ID, a.Body, a.NotModified)) }
-	denied := func(a msgpack.Response) []byte { return msgpack.Rejection(a.ID, a.RetryAfter) }
-	failed := func(a msgpack.Response) []byte { return msgpack.Failure(a.ID, "may have run") }
-	ready := func(a msgpack.Response) []byte { return msgpack.Readiness(a.ID, !a.Rejected) }
-	goldenForms(t, "client_messages.txt", []form{
-		requestForm("call_full", full),
-		requestForm("call_long", long),
-		requestForm("call_bare", msgpack.Message{Kind: msgpack.Request, ID: 2, Class: "log", HasID: true, RequestID: "r", Timeout: time.Millisecond}),
-		requestForm("alive", msgpack.Message{Kind: msgpack.ReadinessCheck, ID: 3, Class: "alive", HasID: true}),
-		requestForm("cancel", msgpack.Message{Kind: msgpack.Cancellation, ID: 1<<32 - 1}),
-		answerForm("done", msgpack.Response{ID: 1<<32 - 1, Body: []byte("body \x00\xff")}, done),
-		answerForm("done_same", msgpack.Response{ID: 5, NotModified: true}, done),
-		answerForm("done_large", msgpack.Response{ID: 5, Body: make([]byte, 400)}, done),
-		answerForm("denied", msgpack.Response{ID: 6, Rejected: true}, denied),
-		answerForm("denied_retry_after", msgpack.Response{ID: 6, Rejected: true, RetryAfter: 180 * time.Millisecond}, denied),
-		answerForm("aborted", msgpack.Response{ID: 7, Failed: true}, failed),
-		answerForm("ready", msgpack.Response{ID: 8}, ready),
-		answerForm("not_ready", msgpack.Response{ID: 8, Rejected: true}, ready),
+	success := func(a msgpack.Response) []byte { return slices.Concat(msgpack.Success(a.ID, a.Body, a.NotModified)) }
+	rejection := func(a msgpack.Response) []byte { return msgpack.Rejection(a.ID, a.RetryAfter) }
+	failure := func(a msgpack.Response) []byte { return msgpack.Failure(a.ID, "may have run") }
+	readiness := func(a msgpack.Response) []byte { return msgpack.Readiness(a.ID, !a.Rejected) }
+	goldenEncodings(t, "client_messages.txt", []encoding{
+		requestEncoding("call_full", full),
+		requestEncoding("call_long", long),
+		requestEncoding("call_bare", msgpack.Message{Kind: msgpack.Request, ID: 2, Class: "log", HasID: true, RequestID: "r",
+			Timeout: time.Millisecond}),
+		requestEncoding("alive", msgpack.Message{Kind: msgpack.ReadinessCheck, ID: 3, Class: "alive", HasID: true}),
+		requestEncoding("cancel", msgpack.Message{Kind: msgpack.Cancellation, ID: 1<<32 - 1}),
+		responseEncoding("done", msgpack.Response{ID: 1<<32 - 1, Body: []byte("body \x00\xff")}, success),
+		responseEncoding("done_same", msgpack.Response{ID: 5, NotModified: true}, success),
+		responseEncoding("done_large", msgpack.Response{ID: 5, Body: make([]byte, 400)}, success),
+		responseEncoding("denied", msgpack.Response{ID: 6, Rejected: true}, rejection),
+		responseEncoding("denied_retry_after", msgpack.Response{ID: 6, Rejected: true, RetryAfter: 180 * time.Millisecond}, rejection),
+		responseEncoding("aborted", msgpack.Response{ID: 7, Failed: true}, failure),
+		responseEncoding("ready", msgpack.Response{ID: 8}, readiness),
+		responseEncoding("not_ready", msgpack.Response{ID: 8, Rejected: true}, readiness),
 	})
 }
 
-// commandForm is a command to a node.
-func commandForm(name string, c resp.Command) form {
+// commandEncoding returns the encoding of a command to a node.
+func commandEncoding(name string, c resp.Command) encoding {
 	write := func(c resp.Command) []byte {
 		switch {
 		case c.Cancel:
@@ -79,14 +80,14 @@
 		}
 		return resp.AppendRequest(nil, &c.Request)
 	}
-	return form{name, c, write(c), func(raw []byte) (any, []byte, error) {
+	return encoding{name, c, write(c), func(raw []byte) (any, []byte, error) {
 		c, err := resp.ReadCommand(bufio.NewReader(bytes.NewReader(raw)))
 		return c, write(c), err
 	}}
 }
 
-func nodeAnswerForm(name string, a resp.Response) form {
-	return form{name, a, resp.AppendResponse(nil, &a), func(raw []byte) (any, []byte, error) {
+func nodeResponseEncoding(name string, a resp.Response) encoding {
+	return encoding{name, a, resp.AppendResponse(nil, &a), func(raw []byte) (any, []byte, error) {
 		a, err := resp.ReadResponse(bufio.NewReader(bytes.NewReader(raw)))
 		return a, resp.AppendResponse(nil, &a), err
 	}}
@@ -99,28 +100,29 @@
 	with := func(o routing.AttemptOrder) resp.Command {
 		return resp.Command{Request: resp.Request{ID: "x", Class: "log", Object: "o", Timeout: time.Millisecond, Order: o, Body: []byte{}}}
 	}
-	forms := []form{
-		commandForm("get_full", resp.Command{Request: full}),
-		commandForm("get_bare", with(routing.AttemptOrder{})),
-		commandForm("get_join", with(routing.AttemptOrder{CollapseFills: true, CachePriority: 1})),
-		commandForm("get_held_only", with(routing.AttemptOrder{OnlyIfCached: true, CachePriority: 2})),
-		commandForm("get_renew", with(routing.AttemptOrder{Revalidate: true, MaxAge: time.Millisecond})),
-		commandForm("get_join_renew", with(routing.AttemptOrder{CollapseFills: true, Revalidate: true})),
+	encodings := []encoding{
+		commandEncoding("get_full", resp.Command{Request: full}),
+		commandEncoding("get_bare", with(routing.AttemptOrder{})),
+		commandEncoding("get_join", with(routing.AttemptOrder{CollapseFills: true, CachePriority: 1})),
+		commandEncoding("get_held_only", with(routing.AttemptOrder{OnlyIfCached: true, CachePriority: 2})),
+		commandEncoding("get_renew", with(routing.AttemptOrder{Revalidate: true, MaxAge: time.Millisecond})),
+		commandEncoding("get_join_renew", with(routing.AttemptOrder{CollapseFills: true, Revalidate: true})),
 		{name: "get_least", bytes: resp.AppendRequest(nil, &resp.Request{ID: "x", Class: "log", Object: "o", Order: routing.AttemptOrder{MaxAge: time.Microsecond}})},
-		commandForm("drop", resp.Command{Request: resp.Request{ID: "d0-17"}, Cancel: true}),
-		commandForm("ping", resp.Command{Request: resp.Request{ID: "p-1"}, HealthCheck: true}),
+		commandEncoding("drop", resp.Command{Request: resp.Request{ID: "d0-17"}, Cancel: true}),
+		commandEncoding("ping", resp.Command{Request: resp.Request{ID: "p-1"}, HealthCheck: true}),
 	}
-	words := [...]string{"hit", "valid", "none", "full", "fault", "late", "pong"}
-	for word, name := range words {
-		forms = append(forms, nodeAnswerForm("answer_"+name, resp.Response{ID: "d0-17", Status: resp.Status(word), Body: []byte("body")}))
+	statusNames := [...]string{"hit", "valid", "none", "full", "fault", "late", "pong"}
+	for status, name := range statusNames {
+		encodings = append(encodings, nodeResponseEncoding("answer_"+name,
+			resp.Response{ID: "d0-17", Status: resp.Status(status), Body: []byte("body")}))
 	}
-	fills := [...]string{"untold", "hit", "filled", "filled_by_origin", "joined", "stale", "source_refused", "source_unreached", "source_lacks",
+	fillNames := [...]string{"untold", "hit", "filled", "filled_by_origin", "joined", "stale", "source_refused", "source_unreached", "source_lacks",
 		"no_place", "origin_failed"}
-	for fill, name := range fills {
-		forms = append(forms, nodeAnswerForm("note_"+name, resp.Response{ID: "d0-17", Status: resp.Hit, Fill: routing.Fill(fill),
+	for fill, name := range fillNames {
+		encodings = append(encodings, nodeResponseEncoding("note_"+name, resp.Response{ID: "d0-17", Status: resp.Hit, Fill: routing.Fill(fill),
 			Waited: 12345 * time.Microsecond, Fetched: 1_700_000_000_123, Body: []byte{}}))
 	}
-	goldenForms(t, "node_messages.txt", forms)
+	goldenEncodings(t, "node_messages.txt", encodings)
 }
 
 func discoveryMachines() []discovery.Endpoint {
@@ -132,14 +134,14 @@
 }
 
 func TestDiscoveryFrames(t *testing.T) {
-	event := func(name string, e discovery.Event) form {
-		return form{name, e, discovery.AppendEvent(nil, &e), func(raw []byte) (any, []byte, error) {
+	event := func(name string, e discovery.Event) encoding {
+		return encoding{name, e, discovery.AppendEvent(nil, &e), func(raw []byte) (any, []byte, error) {
 			e, err := discovery.Read(bytes.NewReader(raw))
 			return e, discovery.AppendEvent(nil, &e), err
 		}}
 	}
 	last := uint64(1<<64 - 2)
-	goldenForms(t, "discovery_frames.txt", []form{
+	goldenEncodings(t, "discovery_frames.txt", []encoding{
 		{"hello", last, discovery.AppendHello(nil, last), func(raw []byte) (any, []byte, error) {
 			last, err := discovery.ReadHello(raw)
 			return last, discovery.AppendHello(nil, last), err
@@ -153,7 +155,7 @@
 	})
 }
 
-// TestDiscoveryJSON: the endpoint list in the form in which a configuration has it.
+// TestDiscoveryJSON checks the endpoint list as it is written in a configuration.
 func TestDiscoveryJSON(t *testing.T) {
 	zones, kinds := []string{"west", "east, far"}, []string{"box", "mid", "root"}
 	b, err := json.MarshalIndent(discovery.KnownJSON(7, discoveryMachines(), zones, kinds), "", " ")
@@ -164,6 +166,6 @@
 	last, events, err := discovery.Known(readGolden(t, "discovery_known.json"), zones, kinds)
 	want := []discovery.Event{{Number: 7, Endpoints: discoveryMachines(), Complete: true}}
 	if err != nil || last != 7 || !reflect.DeepEqual(events, want) {
-		t.Errorf("read as %d, %+v, %v", last, events, err)
+		t.Errorf("the golden bytes are read as last event %d, %+v, error %v, want 7, one complete event", last, events, err)
 	}
 }
--- a/internal/compat/command_test.go
+++ b/internal/compat/command_test.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	programPath  = "../../cmd/indigochute"
-	simAdapter   = "../../cmd/simadapter"
-	inputs       = "testdata/in"
-	commandLimit = 2 * time.Minute // for one command, on a busy machine
+	programPath    = "../../cmd/indigochute"
+	simAdapterPath = "../../cmd/simadapter"
+	inputs         = "testdata/in"
+	commandTimeout = 2 * time.Minute // for one command, on a busy machine
 )
 
 var buildDir string // folder of the programs under test
@@ -42,12 +42,12 @@
 	os.Exit(code)
 }
 
-// build returns a function that builds a program at its first call and returns the path.
+// build returns a function that builds a program at its first call and returns the path of the executable.
 func build(path string) func() (string, error) {
 	return sync.OnceValues(func() (string, error) {
 		out := filepath.Join(buildDir, filepath.Base(path))
-		if said, err := exec.Command("go", "build", "-o", out, path).CombinedOutput(); err != nil {
-			return "", fmt.Errorf("go build %s: %w: %s", path, err, said)
+		if output, err := exec.Command("go", "build", "-o", out, path).CombinedOutput(); err != nil {
+			return "", fmt.Errorf("go build %s: %w: %s", path, err, output)
 		}
 		return out, nil
 	})
@@ -55,7 +55,7 @@
 
 var (
 	builtProgram    = build(programPath)
-	builtSimAdapter = build(simAdapter)
+	builtSimAdapter = build(simAdapterPath)
 )
 
 // command runs the program in a directory and returns its exit code and its output.
@@ -65,7 +65,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), commandLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), commandTimeout)
 	defer cancel()
 	c := exec.CommandContext(ctx, program, args...)
 	var out, errs bytes.Buffer
@@ -78,8 +78,8 @@
 	return c.ProcessState.ExitCode(), out.String(), errs.String()
 }
 
-// TestCommands: the exit code and the standard output of commands on files and, where a command fails, the line that says why. After a
-// wrong command line (exit code 2) the usage text is not compared.
+// TestCommands checks the exit code and the standard output of commands on files. If a command fails with exit code 1, it also checks the
+// standard error. After an invalid command line (exit code 2) the usage text is not compared.
 func TestCommands(t *testing.T) {
 	const deploy = "../../../../deploy/"
 	for _, c := range []struct{ name, args string }{
@@ -115,7 +115,7 @@
 	}
 }
 
-// TestMigrateFiles: the files that migrate writes, to the new shape and back.
+// TestMigrateFiles checks the files that migrate writes, first to the new format and then back.
 func TestMigrateFiles(t *testing.T) {
 	dir := t.TempDir()
 	old := readGolden(t, "in/config_old.json")
@@ -127,7 +127,7 @@
 		{"back", "migrate new.json --back --out back.json"},
 	} {
 		if exit, _, stderr := command(t, dir, strings.Fields(step.args)...); exit != 0 {
-			t.Fatalf("%s: exit %d: %s", step.args, exit, stderr)
+			t.Fatalf("%s: exit %d, want 0: %s", step.args, exit, stderr)
 		}
 		b, err := os.ReadFile(filepath.Join(dir, step.name+".json"))
 		if err != nil {
@@ -137,9 +137,9 @@
 	}
 }
 
-const planRows = 700 // rows of a stored capture that are used, so that a plan takes seconds only
+const planRows = 700 // rows of a stored capture that are used, so that plan takes only seconds
 
-// TestPlanJSON: the output of plan for the first rows of a stored capture.
+// TestPlanJSON checks the output of plan for the first rows of a stored capture.
 func TestPlanJSON(t *testing.T) {
 	c, err := capture.Read("../../examples/plan/small.capture")
 	if err != nil {
@@ -156,18 +156,18 @@
 	exit, stdout, stderr := command(t, "../../examples/plan", "plan", "small.yaml", "--load", file, "--json")
 	golden(t, "plan.json", []byte(stdout))
 	if exit > 1 || exit == 1 && stdout == "" {
-		t.Errorf("exit %d: %s", exit, stderr)
+		t.Errorf("exit %d, want 0, or 1 with an output: %s", exit, stderr)
 	}
 }
 
-// TestStatusJSON: the output of the status command for two instances that respond and one that does not.
+// TestStatusJSON checks the output of the status command for two instances that respond and one that does not.
 func TestStatusJSON(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	closed.Close()
-	answer := func(name, role string, others map[string]string) []byte {
+	statusOf := func(name, role string, others map[string]string) []byte {
 		full, status := &cluster.Status{}, map[string]any{}
 		(&filler{}).fill(reflect.ValueOf(full).Elem())
 		if err := json.Unmarshal(encodeJSON(t, full), &status); err != nil {
@@ -182,25 +182,25 @@
 		}
 		return b
 	}
-	open := func(payload []byte) string {
-		desk, err := peer.OpenQueryServer("127.0.0.1:0", peer.QueryHandlers{"status": func([]byte) ([]byte, error) { return payload, nil }})
+	serveStatus := func(payload []byte) string {
+		server, err := peer.OpenQueryServer("127.0.0.1:0", peer.QueryHandlers{"status": func([]byte) ([]byte, error) { return payload, nil }})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { desk.Close() })
-		return desk.Addr()
+		t.Cleanup(func() { server.Close() })
+		return server.Addr()
 	}
-	second := open(answer("n1", "member", map[string]string{}))
-	first := open(answer("n0", "keeper", map[string]string{"n1": second, "n2": closed.Addr().String()}))
+	second := serveStatus(statusOf("n1", "member", map[string]string{}))
+	first := serveStatus(statusOf("n0", "keeper", map[string]string{"n1": second, "n2": closed.Addr().String()}))
 	for _, name := range []string{"duties", "leases"} { // the former and the present name of the command
 		exit, stdout, stderr := command(t, ".", name, "status", "--at", first, "--json")
 		if exit != 0 {
-			t.Errorf("%s: exit %d: %s", name, exit, stderr)
+			t.Errorf("%s: exit %d, want 0: %s", name, exit, stderr)
 		}
 		stdout = strings.NewReplacer(second, "SECOND", closed.Addr().String(), "CLOSED").Replace(stdout)
 		golden(t, "status.json", []byte(stdout))
 		if exit, _, _ := command(t, ".", name, "status", "--at", closed.Addr().String(), "--json"); exit != 1 {
-			t.Errorf("%s: exit %d where nobody answers", name, exit)
+			t.Errorf("%s: exit %d for an address without a listener, want 1", name, exit)
 		}
 	}
 }
--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "rewrite the golden files by what today's build gives")
+var update = flag.Bool("update", false, "rewrite the golden files with the output of the current build")
 
 // golden compares bytes with a golden file under testdata.
 func golden(t *testing.T, name string, got []byte) {
@@ -40,60 +40,61 @@
 	return b
 }
 
-// firstDifference says at which offset two byte strings differ first, and shows the bytes there.
+// firstDifference describes the first difference of two byte strings: its offset, and the bytes around it.
 func firstDifference(got, want []byte) string {
 	at := 0
 	for at < len(got) && at < len(want) && got[at] == want[at] {
 		at++
 	}
 	near := func(b []byte) []byte { return b[max(0, at-20):min(len(b), at+40)] }
-	return fmt.Sprintf("byte %d of %d, the golden has %d: got %q, want %q", at, len(got), len(want), near(got), near(want))
+	return fmt.Sprintf("first difference at byte %d: got %d bytes, want %d; got %q, want %q there", at, len(got), len(want), near(got),
+		near(want))
 }
 
-// form is one value and its encoding. Parse reads an encoding, and returns the value that was read and the encoding of that value. It is nil
-// where the project only writes the form.
-type form struct {
+// encoding is one value and its encoded bytes. The function parse reads such bytes. It returns the value, and the bytes of that value when
+// it is encoded again. It is nil for encodings that the project only writes.
+type encoding struct {
 	name  string
 	value any
 	bytes []byte
-	parse func(raw []byte) (value any, again []byte, err error)
+	parse func(raw []byte) (value any, reencoded []byte, err error)
 }
 
-// goldenForms compares forms with a golden file, whose lines are a name and the bytes in hexadecimal. Each value must be encoded as the
-// golden bytes. The golden bytes must be read as the value, and be the same after they are encoded again.
-func goldenForms(t *testing.T, file string, forms []form) {
+// goldenEncodings compares encodings with a golden file. Each line of the file has a name and bytes in hexadecimal. Each value must be
+// encoded as the golden bytes. The golden bytes must be read as the value, and encoding that value again must return the same bytes.
+func goldenEncodings(t *testing.T, file string, encodings []encoding) {
 	t.Helper()
 	var text bytes.Buffer
-	for _, f := range forms {
-		fmt.Fprintf(&text, "%s %x\n", f.name, f.bytes)
+	for _, e := range encodings {
+		fmt.Fprintf(&text, "%s %x\n", e.name, e.bytes)
 	}
 	golden(t, file, text.Bytes())
 	lines := strings.Split(strings.TrimSpace(string(readGolden(t, file))), "\n")
-	if len(lines) != len(forms) {
-		t.Fatalf("%s: %d lines, %d forms", file, len(lines), len(forms))
+	if len(lines) != len(encodings) {
+		t.Fatalf("%s: %d lines, want %d", file, len(lines), len(encodings))
 	}
-	for i, f := range forms {
-		t.Run(f.name, func(t *testing.T) {
+	for i, e := range encodings {
+		t.Run(e.name, func(t *testing.T) {
 			name, digits, _ := strings.Cut(lines[i], " ")
 			raw, err := hex.DecodeString(digits)
-			if err != nil || name != f.name {
-				t.Fatalf("%s: line %d is of %q: %v", file, i+1, name, err)
+			if err != nil || name != e.name {
+				t.Fatalf("%s: line %d is named %q, error %v, want the name of the encoding and hexadecimal digits", file, i+1, name, err)
 			}
-			if !bytes.Equal(f.bytes, raw) {
-				t.Errorf("encoded: %s", firstDifference(f.bytes, raw))
+			if !bytes.Equal(e.bytes, raw) {
+				t.Errorf("encoded: %s", firstDifference(e.bytes, raw))
 			}
-			if f.parse == nil {
+			if e.parse == nil {
 				return
 			}
-			value, again, err := f.parse(raw)
+			value, reencoded, err := e.parse(raw)
 			if err != nil {
 				t.Fatalf("the golden bytes cannot be read: %v", err)
 			}
-			if !reflect.DeepEqual(value, f.value) {
-				t.Errorf("the golden bytes are read as\n%+v, want\n%+v", value, f.value)
+			if !reflect.DeepEqual(value, e.value) {
+				t.Errorf("the golden bytes are read as\n%+v, want\n%+v", value, e.value)
 			}
-			if !bytes.Equal(again, raw) {
-				t.Errorf("read and encoded again: %s", firstDifference(again, raw))
+			if !bytes.Equal(reencoded, raw) {
+				t.Errorf("the golden bytes, read and encoded again: %s", firstDifference(reencoded, raw))
 			}
 		})
 	}
--- a/internal/compat/json_test.go
+++ b/internal/compat/json_test.go
@@ -14,7 +14,7 @@
 	"indigochute.example/indigochute/internal/testing/scenario"
 )
 
-// filler sets each field to a different value, in the order of the fields.
+// filler sets numbers and texts of a value to different values, in the order of the fields. It sets all booleans to true.
 type filler struct{ count int }
 
 func (f *filler) fill(v reflect.Value) {
@@ -51,7 +51,7 @@
 	case reflect.Float32, reflect.Float64:
 		v.SetFloat(float64(f.next()) + 0.5)
 	default:
-		panic("a field of kind " + v.Kind().String())
+		panic("unsupported field of kind " + v.Kind().String())
 	}
 }
 
@@ -60,8 +60,9 @@
 	return f.count
 }
 
-// TestJSON: the JSON of each type that a command prints or that an instance responds with, once with all fields set and once with none.
-func TestJSON(t *testing.T) {
+// TestOutputJSON checks the JSON of each type that a command prints or that an instance sends as a response, once with all fields set and
+// once with none.
+func TestOutputJSON(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
@@ -81,12 +82,12 @@
 			(&filler{}).fill(reflect.ValueOf(c.value).Elem())
 			golden(t, "json_"+c.name+".json", encodeJSON(t, c.value))
 			golden(t, "json_"+c.name+"_empty.json", empty)
-			read := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
-			if err := json.Unmarshal(readGolden(t, "json_"+c.name+".json"), read); err != nil {
+			parsed := reflect.New(reflect.TypeOf(c.value).Elem()).Interface()
+			if err := json.Unmarshal(readGolden(t, "json_"+c.name+".json"), parsed); err != nil {
 				t.Fatal(err)
 			}
-			if again := encodeJSON(t, read); !bytes.Equal(again, readGolden(t, "json_"+c.name+".json")) {
-				t.Errorf("read and encoded again: %s", firstDifference(again, readGolden(t, "json_"+c.name+".json")))
+			if reencoded := encodeJSON(t, parsed); !bytes.Equal(reencoded, readGolden(t, "json_"+c.name+".json")) {
+				t.Errorf("read and encoded again: %s", firstDifference(reencoded, readGolden(t, "json_"+c.name+".json")))
 			}
 		})
 	}
--- a/internal/compat/outer_names_test.go
+++ b/internal/compat/outer_names_test.go
@@ -17,14 +17,14 @@
 // repositoryRoot is the root of the module, seen from this package.
 const repositoryRoot = "../.."
 
-// TestOuterNamesAreInSource fails where the source no longer has a name that other programs, stored files or operators depend on. The list
+// TestOuterNamesAreInSource fails if the source no longer has a name that other programs, stored files or operators depend on. The list
 // has one name a line: fields and values of messages, keys of configuration and stored files, commands, flags, environment variables,
 // keys and values of JSON output, fields of log lines, and figures of scenarios.
 func TestOuterNamesAreInSource(t *testing.T) {
-	const minNames = 650 // a list cut short would pass otherwise
+	const minNames = 650 // a truncated list would pass otherwise
 	listed := strings.Fields(string(readGolden(t, "outer_names.txt")))
 	if len(listed) < minNames {
-		t.Fatalf("the list has %d names, want %d at least", len(listed), minNames)
+		t.Fatalf("the list has %d names, want at least %d", len(listed), minNames)
 	}
 	if !slices.IsSorted(listed) || len(slices.Compact(slices.Clone(listed))) != len(listed) {
 		t.Error("the list is not sorted, or has a name twice")
@@ -32,7 +32,7 @@
 	inSource := namesInSource(t)
 	for _, name := range listed {
 		if !inSource[name] {
-			t.Errorf("%q is no string constant, key of a struct tag or command in non-test code", name)
+			t.Errorf("%q is not a string constant, key of a struct tag or command in non-test code", name)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// stringValue returns the value of a string constant, or nothing if the expression is none.
+// stringValue returns the value of a string literal, or an empty text for any other expression.
 func stringValue(expression ast.Expr) string {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
--- a/internal/compat/peer_test.go
+++ b/internal/compat/peer_test.go
@@ -24,16 +24,16 @@
 	frameData
 	framePing
 	framePong
-	frameAsk
-	frameAnswer
+	frameQuery
+	frameResponse
 )
 
 const (
-	frameHead    = 8                  // bytes of the length and the checksum
-	peerVersion  = 1                  // version of the protocol between instances
-	testLife     = uint64(0x0102)     // incarnation of the raw side
-	maskedNumber = 0x1111222233334444 // replaces an incarnation or a time, which differ from run to run
-	waitLimit    = 5 * time.Second    // longest wait for any event
+	frameHeaderBytes = 8                  // the length and the checksum
+	peerVersion      = 1                  // version of the protocol between instances
+	testIncarnation  = uint64(0x0102)     // incarnation of the raw side of a connection
+	maskedNumber     = 0x1111222233334444 // replaces an incarnation or a time, which differ between runs of a test
+	waitTimeout      = 5 * time.Second    // longest wait for any event
 )
 
 // appendFrame returns a frame: the length and the checksum, then the values.
@@ -58,23 +58,23 @@
 	return appendFrame(msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendList(nil, 2), kind), number))
 }
 
-func askFrame(version uint64, topic string, payload []byte) []byte {
-	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendList(nil, 4), frameAsk), version)
+func queryFrame(version uint64, topic string, payload []byte) []byte {
+	b := msgpack.AppendUint(msgpack.AppendUint(msgpack.AppendList(nil, 4), frameQuery), version)
 	return appendFrame(msgpack.AppendBytes(msgpack.AppendText(b, topic), payload))
 }
 
-func answerFrame(understood bool, payload []byte) []byte {
-	b := msgpack.AppendBool(msgpack.AppendUint(msgpack.AppendList(nil, 3), frameAnswer), understood)
+func responseFrame(understood bool, payload []byte) []byte {
+	b := msgpack.AppendBool(msgpack.AppendUint(msgpack.AppendList(nil, 3), frameResponse), understood)
 	return appendFrame(msgpack.AppendBytes(b, payload))
 }
 
-// rawFrame is one frame as read from a socket. From and topic are set for the kinds that have them.
+// rawFrame is one frame as read from a socket. The fields incarnation and topic are set for the kinds that have them.
 type rawFrame struct {
-	kind    uint64
-	from    uint64
-	topic   string
-	payload []byte
-	masked  []byte // the frame, with the values replaced that differ from run to run
+	kind        uint64
+	incarnation uint64
+	topic       string
+	payload     []byte
+	masked      []byte // the frame with maskedNumber in place of values that differ between runs of a test
 }
 
 // readFrame reads the next frame from a raw connection and checks its checksum.
@@ -87,19 +87,19 @@
 	return f
 }
 
-// tryReadFrame does the same as readFrame, but returns an error, for goroutines that may not end their test.
+// tryReadFrame reads a frame as readFrame does, but returns an error. It is for goroutines that must not fail their test.
 func tryReadFrame(nc net.Conn) (f rawFrame, err error) {
-	nc.SetReadDeadline(time.Now().Add(waitLimit))
-	head := make([]byte, frameHead)
+	nc.SetReadDeadline(time.Now().Add(waitTimeout))
+	head := make([]byte, frameHeaderBytes)
 	if _, err := io.ReadFull(nc, head); err != nil {
-		return f, fmt.Errorf("head of a frame: %w", err)
+		return f, fmt.Errorf("header of a frame: %w", err)
 	}
 	values := make([]byte, binary.BigEndian.Uint32(head))
 	if _, err := io.ReadFull(nc, values); err != nil {
 		return f, fmt.Errorf("values of a frame: %w", err)
 	}
 	if !bytes.Equal(appendFrame(values), slices.Concat(head, values)) {
-		return f, fmt.Errorf("head %x before values %x", head, values)
+		return f, fmt.Errorf("header %x does not fit values %x", head, values)
 	}
 	mask := func(number uint64) {
 		values = bytes.Replace(values, msgpack.AppendUint(nil, number), msgpack.AppendUint(nil, maskedNumber), 1)
@@ -110,13 +110,13 @@
 	case frameHello:
 		v.Uint()
 		v.Text(64)
-		f.from = v.Uint()
-		mask(f.from)
+		f.incarnation = v.Uint()
+		mask(f.incarnation)
 	case frameData:
-		f.from = v.Uint()
+		f.incarnation = v.Uint()
 		v.Uint()
 		f.topic, f.payload = v.Text(64), v.Bytes(1<<20)
-		mask(f.from)
+		mask(f.incarnation)
 	case framePing:
 		mask(v.Uint())
 	}
@@ -127,8 +127,8 @@
 	return f, nil
 }
 
-// nextOf reads frames until one of a kind comes.
-func nextOf(t *testing.T, nc net.Conn, kind uint64) rawFrame {
+// nextOfKind reads frames up to the next one of a kind.
+func nextOfKind(t *testing.T, nc net.Conn, kind uint64) rawFrame {
 	t.Helper()
 	for range 100 {
 		if f := readFrame(t, nc); f.kind == kind {
@@ -141,7 +141,7 @@
 
 func write(t *testing.T, nc net.Conn, b []byte) {
 	t.Helper()
-	nc.SetWriteDeadline(time.Now().Add(waitLimit))
+	nc.SetWriteDeadline(time.Now().Add(waitTimeout))
 	if _, err := nc.Write(b); err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 
 func accept(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
-	l.(*net.TCPListener).SetDeadline(time.Now().Add(waitLimit))
+	l.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout))
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -176,7 +176,7 @@
 
 func dial(t *testing.T, addr string) net.Conn {
 	t.Helper()
-	nc, err := net.DialTimeout("tcp", addr, waitLimit)
+	nc, err := net.DialTimeout("tcp", addr, waitTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -195,104 +195,105 @@
 	return b
 }
 
-// TestPeerQuestions: a call and its response, each side against a raw socket.
-func TestPeerQuestions(t *testing.T) {
+// TestPeerQueries checks a query and its response, each side against a raw socket.
+func TestPeerQueries(t *testing.T) {
 	l := listen(t)
 	type result struct {
 		payload []byte
 		err     error
 	}
 	results := make(chan result, 1)
-	ask := func(payload string, answer []byte) (rawFrame, result) {
+	query := func(payload string, response []byte) (rawFrame, result) {
 		go func() {
-			payload, err := peer.Query(l.Addr().String(), "status", []byte(payload), waitLimit)
+			payload, err := peer.Query(l.Addr().String(), "status", []byte(payload), waitTimeout)
 			results <- result{payload, err}
 		}()
 		nc := accept(t, l)
 		f := readFrame(t, nc)
-		write(t, nc, answer)
+		write(t, nc, response)
 		return f, <-results
 	}
-	plain, answered := ask("question \x00\xff", answerFrame(true, []byte("an answer")))
-	if string(answered.payload) != "an answer" || answered.err != nil {
-		t.Errorf("answered %q, %v", answered.payload, answered.err)
+	plain, accepted := query("question \x00\xff", responseFrame(true, []byte("an answer")))
+	if string(accepted.payload) != "an answer" || accepted.err != nil {
+		t.Errorf("response %q, error %v, want the payload of the frame", accepted.payload, accepted.err)
 	}
-	empty, refused := ask("", answerFrame(false, []byte("no")))
-	if refused.err == nil {
-		t.Errorf("a refusal is read as %q", refused.payload)
+	empty, rejected := query("", responseFrame(false, []byte("no")))
+	if rejected.err == nil {
+		t.Errorf("a rejection is read as response %q, want an error", rejected.payload)
 	}
 
-	desk, err := peer.OpenQueryServer("127.0.0.1:0", peer.QueryHandlers{"echo": func(payload []byte) ([]byte, error) { return payload, nil }})
+	server, err := peer.OpenQueryServer("127.0.0.1:0", peer.QueryHandlers{"echo": func(payload []byte) ([]byte, error) { return payload, nil }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer desk.Close()
-	answer := func(question []byte) []byte {
-		nc := dial(t, desk.Addr())
-		write(t, nc, question)
+	defer server.Close()
+	respond := func(query []byte) []byte {
+		nc := dial(t, server.Addr())
+		write(t, nc, query)
 		return readFrame(t, nc).masked
 	}
-	goldenForms(t, "peer_questions.txt", []form{
+	goldenEncodings(t, "peer_questions.txt", []encoding{
 		{name: "ask", bytes: plain.masked},
 		{name: "ask_empty", bytes: empty.masked},
-		{name: "answer", bytes: answer(askFrame(peerVersion, "echo", []byte("payload \x00\xff")))},
-		{name: "answer_unknown_topic", bytes: answer(askFrame(peerVersion, "unheard", nil))},
-		{name: "answer_other_version", bytes: answer(askFrame(peerVersion+1, "echo", nil))},
+		{name: "answer", bytes: respond(queryFrame(peerVersion, "echo", []byte("payload \x00\xff")))},
+		{name: "answer_unknown_topic", bytes: respond(queryFrame(peerVersion, "unheard", nil))},
+		{name: "answer_other_version", bytes: respond(queryFrame(peerVersion+1, "echo", nil))},
 	})
 }
 
-// TestPeerLink: the frames that an instance writes on the connection that it dials.
+// TestPeerLink checks the frames that an instance writes to a connection that it dialled.
 func TestPeerLink(t *testing.T) {
 	l := listen(t)
 	bus := openBus(t, peer.Options{Name: "n0", Peers: map[string]string{"n1": l.Addr().String()}})
 	nc := accept(t, l)
 	hello := readFrame(t, nc)
-	if hello.from != bus.Incarnation() {
-		t.Errorf("hello of life %d, not %d", hello.from, bus.Incarnation())
+	if hello.incarnation != bus.Incarnation() {
+		t.Errorf("hello of incarnation %d, want %d", hello.incarnation, bus.Incarnation())
 	}
-	write(t, nc, helloFrame("n1", testLife, hello.from))
+	write(t, nc, helloFrame("n1", testIncarnation, hello.incarnation))
 	bus.Send("n1", "duty", []byte("payload \x00\xff"))
-	data := nextOf(t, nc, frameData)
-	ping := nextOf(t, nc, framePing)
-	goldenForms(t, "peer_link.txt", []form{
+	data := nextOfKind(t, nc, frameData)
+	ping := nextOfKind(t, nc, framePing)
+	goldenEncodings(t, "peer_link.txt", []encoding{
 		{name: "hello", bytes: hello.masked},
 		{name: "data", bytes: data.masked},
 		{name: "ping", bytes: ping.masked},
 	})
 }
 
-// TestPeerInbound: the frames that an instance writes on a connection that another one dialled. It applies the messages that come there.
+// TestPeerInbound checks the frames that an instance writes to a connection that another one dialled, and that it applies the messages
+// that it receives there.
 func TestPeerInbound(t *testing.T) {
-	heard := make(chan string, 1)
+	received := make(chan string, 1)
 	bus := openBus(t, peer.Options{Name: "n0", Peers: map[string]string{"n1": listen(t).Addr().String()},
-		Handlers: map[string]func(peer.Sender, []byte){"duty": func(from peer.Sender, payload []byte) { heard <- from.Name + " " + string(payload) }}})
+		Handlers: map[string]func(peer.Sender, []byte){"duty": func(from peer.Sender, payload []byte) { received <- from.Name + " " + string(payload) }}})
 	nc := dial(t, bus.Addr())
-	write(t, nc, helloFrame("n1", testLife, 0))
+	write(t, nc, helloFrame("n1", testIncarnation, 0))
 	hello := readFrame(t, nc)
-	write(t, nc, dataFrame(testLife, hello.from, "duty", []byte("payload")))
+	write(t, nc, dataFrame(testIncarnation, hello.incarnation, "duty", []byte("payload")))
 	select {
-	case got := <-heard:
+	case got := <-received:
 		if got != "n1 payload" {
-			t.Errorf("heard %q", got)
+			t.Errorf("received %q, want the message that was sent", got)
 		}
-	case <-time.After(waitLimit):
-		t.Error("the message was not heard")
+	case <-time.After(waitTimeout):
+		t.Error("the message was not received")
 	}
 	write(t, nc, numberFrame(framePing, 1_700_000_000_123_456_789))
 	pong := readFrame(t, nc)
 	stranger := dial(t, bus.Addr())
-	write(t, stranger, helloFrame("n9", testLife, 0))
-	goldenForms(t, "peer_inbound.txt", []form{
+	write(t, stranger, helloFrame("n9", testIncarnation, 0))
+	goldenEncodings(t, "peer_inbound.txt", []encoding{
 		{name: "hello", bytes: hello.masked},
 		{name: "pong", bytes: pong.masked},
 		{name: "hello_to_stranger", bytes: readFrame(t, stranger).masked},
 	})
 }
 
-// onePublisher sends one message to each subscriber and records the messages that it receives.
-type onePublisher struct{ heard chan string }
+// recordingPublisher sends one message to each subscriber and records the messages that it receives.
+type recordingPublisher struct{ received chan string }
 
-func (p onePublisher) Next(s *peer.Subscriber) (topic string, payload []byte) {
+func (p recordingPublisher) Next(s *peer.Subscriber) (topic string, payload []byte) {
 	if s.State != nil {
 		return "", nil
 	}
@@ -300,54 +301,54 @@
 	return "kept", []byte("payload \x00\xff")
 }
 
-func (p onePublisher) Receive(_ *peer.Subscriber, topic string, payload []byte) {
-	p.heard <- topic + " " + string(payload)
+func (p recordingPublisher) Receive(_ *peer.Subscriber, topic string, payload []byte) {
+	p.received <- topic + " " + string(payload)
 }
 
-func (p onePublisher) Disconnected(*peer.Subscriber) {}
+func (p recordingPublisher) Disconnected(*peer.Subscriber) {}
 
-// TestPeerSubscriber: the frames that a control machine writes to a director that subscribes.
+// TestPeerSubscriber checks the frames that a control machine writes to a director that subscribes.
 func TestPeerSubscriber(t *testing.T) {
-	publisher := onePublisher{make(chan string, 1)}
+	publisher := recordingPublisher{make(chan string, 1)}
 	bus := openBus(t, peer.Options{Name: "c0", Subscribers: []string{"d0"}, Publisher: publisher})
 	nc := dial(t, bus.Addr())
-	write(t, nc, helloFrame("d0", testLife, 0))
+	write(t, nc, helloFrame("d0", testIncarnation, 0))
 	hello := readFrame(t, nc)
-	data := nextOf(t, nc, frameData)
-	write(t, nc, dataFrame(testLife, hello.from, "from", []byte("vector")))
+	data := nextOfKind(t, nc, frameData)
+	write(t, nc, dataFrame(testIncarnation, hello.incarnation, "from", []byte("vector")))
 	select {
-	case got := <-publisher.heard:
+	case got := <-publisher.received:
 		if got != "from vector" {
-			t.Errorf("heard %q", got)
+			t.Errorf("received %q, want the message that was sent", got)
 		}
-	case <-time.After(waitLimit):
-		t.Error("the subscription was not heard")
+	case <-time.After(waitTimeout):
+		t.Error("the subscription was not received")
 	}
-	goldenForms(t, "peer_subscriber.txt", []form{{name: "hello", bytes: hello.masked}, {name: "data", bytes: data.masked}})
+	goldenEncodings(t, "peer_subscriber.txt", []encoding{{name: "hello", bytes: hello.masked}, {name: "data", bytes: data.masked}})
 }
 
-// TestPeerUplink: the frames that a director writes to a control machine.
+// TestPeerUplink checks the frames that a director writes to a control machine.
 func TestPeerUplink(t *testing.T) {
 	l := listen(t)
-	heard := make(chan string, 1)
+	received := make(chan string, 1)
 	uplinks := peer.OpenUplinks(peer.UplinkOptions{Name: "d0", Spread: time.Millisecond, Seed: 1, Log: quietLog(),
 		Control:      []peer.ControlMachine{{ControlMachine: changefeed.ControlMachine{Name: "c0"}, Addr: l.Addr().String()}},
 		Subscription: func() (string, []byte) { return "from", []byte("payload \x00\xff") },
-		Handler:      func(topic string, payload []byte) { heard <- topic + " " + string(payload) }})
+		Handler:      func(topic string, payload []byte) { received <- topic + " " + string(payload) }})
 	t.Cleanup(uplinks.Close)
 	nc := accept(t, l)
 	hello := readFrame(t, nc)
-	write(t, nc, helloFrame("c0", testLife, hello.from))
-	ping := nextOf(t, nc, framePing)
-	data := nextOf(t, nc, frameData)
-	write(t, nc, dataFrame(testLife, hello.from, "kept", []byte("yes")))
+	write(t, nc, helloFrame("c0", testIncarnation, hello.incarnation))
+	ping := nextOfKind(t, nc, framePing)
+	data := nextOfKind(t, nc, frameData)
+	write(t, nc, dataFrame(testIncarnation, hello.incarnation, "kept", []byte("yes")))
 	select {
-	case got := <-heard:
+	case got := <-received:
 		if got != "kept yes" {
-			t.Errorf("heard %q", got)
+			t.Errorf("received %q, want the message that was sent", got)
 		}
-	case <-time.After(waitLimit):
-		t.Error("the message was not heard")
+	case <-time.After(waitTimeout):
+		t.Error("the message was not received")
 	}
-	goldenForms(t, "peer_uplink.txt", []form{{name: "hello", bytes: hello.masked}, {name: "ping", bytes: ping.masked}, {name: "greeting", bytes: data.masked}})
+	goldenEncodings(t, "peer_uplink.txt", []encoding{{name: "hello", bytes: hello.masked}, {name: "ping", bytes: ping.masked}, {name: "greeting", bytes: data.masked}})
 }
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -16,7 +16,7 @@
 	"indigochute.example/indigochute/internal/topology"
 )
 
-// configLines returns the values of a configuration as read, a line each. Each has a label of its own, which no rename changes.
+// configLines returns the values of a parsed configuration, one a line. Their labels do not depend on the names of Go fields.
 func configLines(c *config.Config) []byte {
 	var b bytes.Buffer
 	line := func(label string, value any) { fmt.Fprintf(&b, "%s=%v\n", label, value) }
@@ -42,7 +42,7 @@
 	return b.Bytes()
 }
 
-// settingsLines returns the values of settings as read, a line each.
+// settingsLines returns the values of parsed settings, one a line.
 func settingsLines(s *routing.Settings) []byte {
 	var b bytes.Buffer
 	line := func(label string, value any) { fmt.Fprintf(&b, "%s=%v\n", label, value) }
@@ -73,22 +73,22 @@
 	line("domain.canJoin", s.FillsCollapse)
 	line("weightKind", s.CapacitiesListed)
 	for i, v := range s.Classes {
-		at := fmt.Sprintf("classes.%d.", i)
-		line(at+"aim", v.LatencyObjective)
-		line(at+"aimStretch", v.ObjectiveStretch)
-		line(at+"deadline", v.MaxDeadline)
-		line(at+"idempotency", uint8(v.Effect))
-		line(at+"group", uint8(v.DedupScope))
-		line(at+"window", v.DedupWindow)
-		line(at+"classFresh", v.FreshFor)
-		line(at+"classGrace", v.StaleGrace)
-		line(at+"inParts", v.SplitInParts)
-		line(at+"passOn", v.Write)
+		prefix := fmt.Sprintf("classes.%d.", i)
+		line(prefix+"aim", v.LatencyObjective)
+		line(prefix+"aimStretch", v.ObjectiveStretch)
+		line(prefix+"deadline", v.MaxDeadline)
+		line(prefix+"idempotency", uint8(v.Effect))
+		line(prefix+"group", uint8(v.DedupScope))
+		line(prefix+"window", v.DedupWindow)
+		line(prefix+"classFresh", v.FreshFor)
+		line(prefix+"classGrace", v.StaleGrace)
+		line(prefix+"inParts", v.SplitInParts)
+		line(prefix+"passOn", v.Write)
 	}
 	return b.Bytes()
 }
 
-// TestConfigRead: each key of a configuration, and each default, is read as the same value as before.
+// TestConfigRead checks the value that is read for each key of a configuration, and each default.
 func TestConfigRead(t *testing.T) {
 	for name, file := range map[string]string{"config_read.txt": "in/config.json", "config_read_defaults.txt": "in/config_old.json"} {
 		c, err := config.Parse(readGolden(t, file), "", "")
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestEnvironment: the environment variables that name a configuration and that override its values.
+// TestEnvironment checks the environment variables that name a configuration and that override its values.
 func TestEnvironment(t *testing.T) {
 	t.Setenv("ROUTER_CONFIG", inputs+"/config.json")
 	t.Setenv("ROUTER_NAME", "n9")
@@ -111,46 +111,46 @@
 	golden(t, "environment.txt", configLines(c))
 }
 
-// TestSimulatorSettings: the text form of settings, as the simulator passes it.
+// TestSimulatorSettings checks the settings that are read from the text that the simulator passes.
 func TestSimulatorSettings(t *testing.T) {
-	s, err := config.Text(simulatorInfo)
+	s, err := config.Text(simulatorSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "simulator_settings.txt", settingsLines(&s))
 }
 
-// yamlLines writes the values of a file, a line each, under their keys in the file.
-func yamlLines(b *bytes.Buffer, at string, v reflect.Value) {
+// yamlLines writes the values of a parsed file, one a line, with the path of their keys in the file.
+func yamlLines(b *bytes.Buffer, path string, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			key := v.Type().Field(i).Tag.Get("yaml")
-			yamlLines(b, strings.TrimPrefix(at+"."+key, "."), v.Field(i))
+			yamlLines(b, strings.TrimPrefix(path+"."+key, "."), v.Field(i))
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			yamlLines(b, fmt.Sprintf("%s[%d]", at, i), v.Index(i))
+			yamlLines(b, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	case reflect.Map:
 		for _, key := range slices.SortedFunc(slices.Values(v.MapKeys()), func(a, b reflect.Value) int { return cmp.Compare(a.String(), b.String()) }) {
-			yamlLines(b, at+"."+key.String(), v.MapIndex(key))
+			yamlLines(b, path+"."+key.String(), v.MapIndex(key))
 		}
 	case reflect.Pointer:
-		yamlLines(b, at, v.Elem())
+		yamlLines(b, path, v.Elem())
 	case reflect.Int, reflect.Int64:
-		fmt.Fprintf(b, "%s=%d\n", at, v.Int()) // durations are in nanoseconds
+		fmt.Fprintf(b, "%s=%d\n", path, v.Int()) // durations are in nanoseconds
 	case reflect.Float64:
-		fmt.Fprintf(b, "%s=%g\n", at, v.Float())
+		fmt.Fprintf(b, "%s=%g\n", path, v.Float())
 	case reflect.Bool:
-		fmt.Fprintf(b, "%s=%t\n", at, v.Bool())
+		fmt.Fprintf(b, "%s=%t\n", path, v.Bool())
 	default:
-		fmt.Fprintf(b, "%s=%s\n", at, v.String())
+		fmt.Fprintf(b, "%s=%s\n", path, v.String())
 	}
 }
 
-// TestOperatorRead: each key of an operator file, and each default, is read as the same value as before.
-func TestOperatorRead(t *testing.T) {
+// TestClusterConfigRead checks the value that is read for each key of a cluster configuration file, and each default.
+func TestClusterConfigRead(t *testing.T) {
 	for name, file := range map[string]string{"all": inputs + "/operator_all.yaml", "deploy_operator": "../../deploy/operator.yaml",
 		"deploy_control": "../../deploy/control.yaml"} {
 		raw, err := os.ReadFile(file)
@@ -168,8 +168,8 @@
 	}
 }
 
-// TestFleetRead: each key of a fleet's description, and each default, is read as the same value as before.
-func TestFleetRead(t *testing.T) {
+// TestTopologyRead checks the value that is read for each key of a topology file, and each default.
+func TestTopologyRead(t *testing.T) {
 	for name, file := range map[string]string{"all": inputs + "/fleet_all.yaml", "small": "../../examples/plan/small.yaml",
 		"zones": "../../examples/plan/zones.yaml"} {
 		f, err := topology.Read(file)
@@ -182,8 +182,8 @@
 	}
 }
 
-// simulatorInfo has each setting of the text form.
-var simulatorInfo = strings.Join([]string{
+// simulatorSettings is the text of settings that the simulator passes, with each setting that exists and an unknown one.
+var simulatorSettings = strings.Join([]string{
 	"classes.count=3",
 	"classes.0.aim=400000", "classes.0.aimStretch=2.0", "classes.0.deadline=4000000", "classes.0.idempotency=read_like", "classes.0.value=2.0",
 	"classes.1.aim=600000", "classes.1.deadline=3000000", "classes.1.group=zone", "classes.1.idempotency=idempotency_key", "classes.1.window=3000000",
--- a/internal/compat/simulator_test.go
+++ b/internal/compat/simulator_test.go
@@ -33,13 +33,13 @@
 var actionSizes = map[uint8]int{1: 8, 2: 4, 3: 5, 4: 8, 5: 4, 12: 22, 13: 2}
 
 const (
-	simSecond = uint64(1_000_000) // microseconds of the simulator's clock
-	simSeed   = uint64(0x8c1f30d27a5be964)
-	simWho    = uint16(3) // id of the instance
-	simFrame  = uint32(9) // number of a frame, which its reply repeats
+	simSecond   = uint64(1_000_000) // microseconds of the simulator's clock
+	simSeed     = uint64(0x8c1f30d27a5be964)
+	simInstance = uint16(3) // id of the instance
+	simFrame    = uint32(9) // number of a frame, which the reply repeats
 )
 
-// records returns the bytes of values, one after another, little-endian.
+// records returns the concatenated little-endian bytes of values.
 func records(values ...any) []byte {
 	var b bytes.Buffer
 	for _, v := range values {
@@ -61,7 +61,7 @@
 	return records(state, size, node, started, kind, zone, uint16(node%4))
 }
 
-func simList(scope uint8, machines ...[]byte) []byte {
+func simAnnouncement(scope uint8, machines ...[]byte) []byte {
 	return records(simAnnounce, scope, uint32(1), uint32(len(machines)), bytes.Join(machines, nil))
 }
 
@@ -73,16 +73,16 @@
 	return records(simFinished, id, code, took, final, uint32(8), attempt, waited, note, uint8(1), float32(0.5))
 }
 
-// simSession returns a session with each record that the simulator sends and each status with which an attempt may end.
+// simSession returns a session with each kind of record that the simulator sends and each status with which an attempt may end.
 func simSession() []byte {
-	at := records(simAt, simWho)
-	create := records(simCreate, simSeed, uint32(len(simulatorInfo)), []byte(simulatorInfo))
+	at := records(simAt, simInstance)
+	create := records(simCreate, simSeed, uint32(len(simulatorSettings)), []byte(simulatorSettings))
 	machines := [][]byte{simMachine(1, 12.5, 10, 0, 0, 1), simMachine(1, 25, 11, simSecond/2, 0, 1), simMachine(1, 12.5, 12, 0, 0, 1),
 		simMachine(2, 12.5, 13, 0, 0, 1), simMachine(0, 12.5, 14, 0, 0, 1), simMachine(1, 50, 20, 0, 1, 0), simMachine(1, 50, 21, 0, 1, 1),
 		simMachine(1, 100, 30, 0, 2, 0)}
 	batches := [][]byte{
 		simBatch(simSecond),
-		simBatch(simSecond, at, create, simList(3, machines...)),
+		simBatch(simSecond, at, create, simAnnouncement(3, machines...)),
 	}
 	clock, id := 2*simSecond, uint32(40)
 	for class := range uint16(3) {
@@ -99,7 +99,7 @@
 			clock += 400_000
 		}
 	}
-	for id := uint32(191); id < 195; id++ { // rejected without a reason, so the source gets a health check
+	for id := uint32(191); id < 195; id++ { // rejected without a reason, after which the source gets a health check
 		batches = append(batches, simBatch(clock, at, simRequest(id, 0, 500+uint64(id), clock+4*simSecond)),
 			simBatch(clock+50_000, at, simEnd(id, 503, 50_000, 0, 0, 0, 0)),
 			simBatch(clock+200_000, at, simEnd(id, 200, 150_000, 1, 1, 0, 0)))
@@ -113,17 +113,17 @@
 			records(simProbeDone, uint16(502), uint32(0), uint32(21), uint8(0)), records(simPeer, uint16(1), uint16(2), uint16(0))),
 		simBatch(clock+500_000, at, records(simWakeup, uint32(0))),
 		simBatch(clock+990_000, at, records(simWakeup, uint32(35)), records(simWakeup, uint32(36))),
-		simBatch(clock+simSecond, at, simList(2, simMachine(2, 12.5, 10, 0, 0, 1))),
-		simBatch(clock+simSecond, at, simList(4)),
+		simBatch(clock+simSecond, at, simAnnouncement(2, simMachine(2, 12.5, 10, 0, 0, 1))),
+		simBatch(clock+simSecond, at, simAnnouncement(4)),
 		simBatch(clock+simSecond, at, simRequest(301, 1, 90, clock+5*simSecond)),
-		simBatch(clock+simSecond, at, simList(1)),
+		simBatch(clock+simSecond, at, simAnnouncement(1)),
 		simBatch(clock+simSecond, at, simRequest(302, 1, 91, clock+5*simSecond)),
 		simBatch(clock+2*simSecond, at, records(simCrashNow)),
-		simBatch(clock+2*simSecond, at, create, simList(3, machines...), simRequest(401, 0, 90, clock+5*simSecond)))
+		simBatch(clock+2*simSecond, at, create, simAnnouncement(3, machines...), simRequest(401, 0, 90, clock+5*simSecond)))
 	return bytes.Join(batches, nil)
 }
 
-// TestSimulatorSession: the replies of the package and of the program to a scripted session. Each action must occur.
+// TestSimulatorSession checks the replies of the package and of the program to a scripted session. Each action must occur.
 func TestSimulatorSession(t *testing.T) {
 	var session strings.Builder
 	for _, frame := range simFrames(t, simSession()) {
@@ -142,12 +142,12 @@
 	}
 	c := exec.CommandContext(t.Context(), adapter)
 	c.Stdin = bytes.NewReader(in)
-	said, err := c.Output()
+	output, err := c.Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(said, replies.Bytes()) {
-		t.Errorf("the program: %s", firstDifference(said, replies.Bytes()))
+	if !bytes.Equal(output, replies.Bytes()) {
+		t.Errorf("replies of the program and the package differ: %s", firstDifference(output, replies.Bytes()))
 	}
 	var text strings.Builder
 	seen := map[uint8]int{}
@@ -156,7 +156,7 @@
 		for b := frame[8:]; len(b) > 0; {
 			size, known := actionSizes[b[0]]
 			if !known || len(b) <= size {
-				t.Fatalf("reply %x: action %d", frame, b[0])
+				t.Fatalf("reply %x: action %d is unknown or truncated", frame, b[0])
 			}
 			seen[b[0]]++
 			b = b[1+size:]
@@ -165,12 +165,12 @@
 	golden(t, "simulator_replies.txt", []byte(text.String()))
 	for code := range actionSizes {
 		if seen[code] == 0 {
-			t.Errorf("no reply has action %d: %v", code, seen)
+			t.Errorf("no reply has action %d, number of replies by action %v", code, seen)
 		}
 	}
 }
 
-// simFrames splits a stream into its frames. The clock, which only the simulator's frames have, counts as a part of the records here.
+// simFrames splits a stream into its frames. Only the simulator's frames have a clock; it is treated as part of their records.
 func simFrames(t *testing.T, b []byte) (frames [][]byte) {
 	t.Helper()
 	for len(b) > 0 {
