--- a/internal/docscheck/checker_test.go
+++ b/internal/docscheck/checker_test.go
@@ -8,12 +8,13 @@
 	"strings"
 )
 
-// checker checks that the things that pages name exist. The methods of a checker record what does not.
+// checker checks that the paths, identifiers, commands, flags, tests and messages that pages name exist. It records those that do not exist
+// as findings.
 type checker struct {
 	source   *source
 	program  *program
 	findings []string // faults of the pages, each with the page and the line
-	position string   // page and line that are checked
+	position string   // page and line that are checked at present
 }
 
 // report records a fault at the current position.
@@ -86,8 +87,8 @@
 	}
 }
 
-// checkLogged checks a message, or a part of a log line, that a page quotes as logged. Where the source inserts a value, any text is
-// accepted; pages write a word in capitals there.
+// checkLogged checks a message or another text that a page quotes from a log. Where the source inserts a value, any text is accepted. Pages
+// write a word in capitals there.
 func (c *checker) checkLogged(message string) {
 	if message == "" {
 		c.report(`after "Log:", "Error:", "Ending:" or "Field:" a text in backticks is expected`)
@@ -120,7 +121,7 @@
 	case len(words) == 1:
 		c.checkWord(first)
 	case looksLikeCall(words):
-		c.report("%q is no command of the program", text)
+		c.report("%q is not a command of the program", text)
 	case longFlag.MatchString(first):
 		c.checkLoneFlag(first)
 	case first == "bash" || strings.HasPrefix(first, "./"):
@@ -133,8 +134,8 @@
 	}
 }
 
-// looksLikeCall reports whether words look like a call of the program in the short form: a word first, and long flags. Calls of programs
-// outside of the repository do not count.
+// looksLikeCall reports whether words look like a call of the program in the short form: they begin with a word and contain a long flag.
+// Calls of programs outside of the repository do not count.
 func looksLikeCall(words []string) bool {
 	first := words[0]
 	return slices.ContainsFunc(words, longFlag.MatchString) && !strings.HasPrefix(first, "-") &&
@@ -198,7 +199,7 @@
 	}
 }
 
-// checkQualified checks an identifier with its package, or a member with a variable of one letter, which stands for any type.
+// checkQualified checks an identifier with its package, or a member with a variable of one letter. The variable may be of any type.
 func (c *checker) checkQualified(name string) {
 	match := qualifiedName.FindStringSubmatch(name)
 	qualifier, identifier := match[1], match[2]
@@ -224,8 +225,8 @@
 	}
 }
 
-// checkShortForm checks the short forms of the capacity page: "bench X" is a benchmark whose name begins with BenchmarkX, "play X" is
-// the test X.
+// checkShortForm checks the short forms of the capacity page: "bench X" means the benchmarks whose names begin with BenchmarkX, and
+// "play X" means the test X.
 func (c *checker) checkShortForm(form, name string) {
 	if name == "X" {
 		return
@@ -248,7 +249,7 @@
 	}
 }
 
-// checkExampleCall checks one call of an example, where it calls the program or go test.
+// checkExampleCall checks one call of an example if it calls the program or go test.
 func (c *checker) checkExampleCall(words []string) {
 	for i, word := range words {
 		switch {
@@ -281,7 +282,7 @@
 func shellWords(line string) []string { return shellWord.FindAllString(line, -1) }
 
 // checkCall checks the arguments of a call of the program: commands, their arguments and flags. The short form of a call leaves out the
-// program. Plain words in that form that begin with no command are text and no call.
+// program. In that form, plain words that do not begin with a command are text, not a call.
 func (c *checker) checkCall(words []string, short bool) {
 	names := leadingPlainWords(words)
 	command, err := c.program.command(names)
@@ -327,7 +328,7 @@
 	c.report("no command has a flag %s", flag)
 }
 
-// goTestPlaceholders are the patterns of tests that pages write for any test or for none.
+// goTestPlaceholders are the patterns of tests by which pages mean any test or no test.
 var goTestPlaceholders = []string{"X", "XXX", "^$", "."}
 
 // checkGoTest checks the arguments of go test: its packages, the tests that it runs, and the flags of the packages' tests.
@@ -365,7 +366,7 @@
 	return directories
 }
 
-// matchesAny reports whether a pattern, as go test takes it, matches one of the tests. Only the part for top-level tests counts.
+// matchesAny reports whether a pattern of go test matches one of the tests. It considers only the part of the pattern for top-level tests.
 func matchesAny(tests []string, pattern string) bool {
 	top, _, _ := strings.Cut(pattern, "/")
 	expression, err := regexp.Compile(top)
--- a/internal/docscheck/docscheck_test.go
+++ b/internal/docscheck/docscheck_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// unchecked are the pages that may name things that do not exist. The glossary lists withdrawn words; its identifiers have a test of
-// their own.
-var unchecked = map[string]bool{"docs/glossary.md": true}
+// uncheckedPages are the pages that may name things that do not exist. The glossary lists withdrawn words; its identifiers are checked by
+// TestGlossaryIdentifiers.
+var uncheckedPages = map[string]bool{"docs/glossary.md": true}
 
-// TestPagesNameWhatExists fails where the README or a page in docs/ names what the repository does not have.
-func TestPagesNameWhatExists(t *testing.T) {
+// TestNamesInPagesExist fails if the README or a page in docs/ names something that the repository does not have.
+func TestNamesInPagesExist(t *testing.T) {
 	pages, err := filepath.Glob(root + "/docs/*.md")
 	if err != nil {
 		t.Fatal(err)
@@ -22,24 +22,24 @@
 	if len(pages) < 2 {
 		t.Fatal("no pages were found")
 	}
-	checked := newChecker(t)
+	pageChecker := newChecker(t)
 	for _, page := range pages {
 		name := filepath.ToSlash(strings.TrimPrefix(page, root+string(filepath.Separator)))
-		if unchecked[name] {
+		if uncheckedPages[name] {
 			continue
 		}
 		text, err := os.ReadFile(page)
 		if err != nil {
 			t.Fatal(err)
 		}
-		checked.checkPage(name, string(text))
+		pageChecker.checkPage(name, string(text))
 	}
-	for _, finding := range checked.findings {
+	for _, finding := range pageChecker.findings {
 		t.Error(finding)
 	}
 }
 
-// The source and the program that all checkers share. They are read once.
+// The source and the program, which are read once and shared by all checkers.
 var (
 	readOnce sync.Once
 	shared   checker
@@ -69,7 +69,7 @@
 	os.Exit(status)
 }
 
-// TestOnCallQuotesLogLines fails where the on-call page no longer quotes log lines in the form that the checker reads.
+// TestOnCallQuotesLogLines fails if the on-call page no longer quotes log lines in the form that the checker recognizes.
 func TestOnCallQuotesLogLines(t *testing.T) {
 	text, err := os.ReadFile(root + "/docs/oncall.md")
 	if err != nil {
@@ -77,16 +77,16 @@
 	}
 	const minQuotes = 20
 	if quotes := len(loggedText.FindAllString(string(text), -1)); quotes < minQuotes {
-		t.Errorf("docs/oncall.md quotes %d log lines, want %d at least", quotes, minQuotes)
+		t.Errorf("docs/oncall.md quotes %d log lines, want at least %d", quotes, minQuotes)
 	}
 }
 
-// TestCheckerFinds: the checker reports names that do not exist, and accepts names that do.
-func TestCheckerFinds(t *testing.T) {
+// TestCheckerReportsMissingNames checks that the checker reports names that do not exist, and accepts names that do.
+func TestCheckerReportsMissingNames(t *testing.T) {
 	cases := []struct {
 		name string
 		text string // a page
-		want string // part of what is reported; empty: nothing is reported
+		want string // part of the findings; empty: there must be none
 	}{
 		{"a directory that is not there", "see `nowhere/`", "there is no nowhere/"},
 		{"a directory below one that is there", "see `internal/nowhere`", "there is no internal/nowhere"},
@@ -105,7 +105,7 @@
 		{"a command with a flag it lacks", "call `indigochute serve --nothing`", "has no flag --nothing"},
 		{"a flag on a continued line", "    indigochute serve \\\n      --nothing", "has no flag --nothing"},
 		{"a short form with a flag it lacks", "call `serve --nothing`", "has no flag --nothing"},
-		{"a short form of no command", "call `nothing --json`", "is no command"},
+		{"a short form of no command", "call `nothing --json`", "is not a command"},
 		{"a flag of no command", "with `--nothing`", "no command has a flag --nothing"},
 		{"a test that is not there", "| crossing | TestOfNothingAtAll |", "there is no TestOfNothingAtAll"},
 		{"a test in backticks", "`TestOfNothingAtAll`", "there is no TestOfNothingAtAll"},
@@ -125,17 +125,17 @@
 		{"an identifier of the standard library", "`errors.Is`", ""},
 		{"commands", "`indigochute serve`, `indigochute completion bash`, `indigochute schema fleet`, `schema operator`", ""},
 		{"a command with its flag", "`indigochute check FILE --operator x.yaml`, `--log-format json`", ""},
-		{"a test", "TestCheckerFinds", ""},
-		{"a go test", "`go test ./internal/docscheck -run CheckerFinds -v`", ""},
+		{"a test", "TestCheckerReportsMissingNames", ""},
+		{"a go test", "`go test ./internal/docscheck -run CheckerReportsMissingNames -v`", ""},
 		{"a field of a message", "`peer.subscribers`, `known`, `true`", ""},
 		{"a log line", "Log: `serving`", ""},
 		{"a log line with a value", "Log: `connection to ADDRESS`, Field: `error`", ""},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			checked := newChecker(t)
-			checked.checkPage("page.md", test.text)
-			got := strings.Join(checked.findings, "\n")
+			pageChecker := newChecker(t)
+			pageChecker.checkPage("page.md", test.text)
+			got := strings.Join(pageChecker.findings, "\n")
 			if test.want == "" && got != "" {
 				t.Errorf("reported for %q: %s, want nothing", test.text, got)
 			}
--- a/internal/docscheck/glossary_test.go
+++ b/internal/docscheck/glossary_test.go
@@ -8,7 +8,7 @@
 
 // glossaryRow is one row of a table of the glossary.
 type glossaryRow struct {
-	table       string // header of the first column of its table
+	table       string // header of the first column of the row's table
 	word        string
 	term        string
 	identifiers []string // those in backticks in the last column
@@ -29,7 +29,7 @@
 		}
 		cells := strings.Split(strings.Trim(line, "|"), "|")
 		if len(cells) != 3 {
-			t.Fatalf("%q has %d cells, 3 are expected", line, len(cells))
+			t.Fatalf("%q has %d cells, want 3", line, len(cells))
 		}
 		for i := range cells {
 			cells[i] = strings.TrimSpace(cells[i])
@@ -48,11 +48,11 @@
 	return rows
 }
 
-// TestGlossaryIsInOrder fails where the words of a table are not in alphabetical order, or where a word occurs twice or has no term.
+// TestGlossaryIsInOrder fails if the words of a table are not in alphabetical order, or if a word occurs twice or has no term.
 func TestGlossaryIsInOrder(t *testing.T) {
 	rows := readGlossary(t)
 	if len(rows) < 100 {
-		t.Fatalf("%d words were read, at least 100 are expected", len(rows))
+		t.Fatalf("%d words were read, want at least 100", len(rows))
 	}
 	previous := glossaryRow{}
 	for _, row := range rows {
@@ -69,8 +69,8 @@
 // sortKey returns the form of a word by which a table is sorted: without backticks, in lower case.
 func sortKey(word string) string { return strings.ToLower(strings.ReplaceAll(word, "`", "")) }
 
-// TestGlossaryIdentifiers fails where the glossary's last column names a package, an identifier of one (package.Name) or a
-// member of a type (package.Type.Member) that the code lacks.
+// TestGlossaryIdentifiers fails if the glossary's last column names a package, an identifier of a package (package.Name) or a
+// member of a type (package.Type.Member) that does not exist in the code.
 func TestGlossaryIdentifiers(t *testing.T) {
 	source := newChecker(t).source
 	for _, row := range readGlossary(t) {
--- a/internal/docscheck/program_test.go
+++ b/internal/docscheck/program_test.go
@@ -10,19 +10,19 @@
 	"testing"
 )
 
-// program is the built program. What it offers is read from its help texts.
+// program is the built program. Its commands and flags are read from its help texts.
 type program struct {
 	path      string              // path of the executable
-	known     map[string]*command // commands by the words that were looked up
-	allListed bool                // known has all commands
+	commands  map[string]*command // commands that were looked up, by the words of the look-up
+	allListed bool                // commands has all commands of the program
 }
 
 // command is a command of the program, as its help describes it.
 type command struct {
-	words     []string // path of the command, such as plan, need
-	arguments bool     // it accepts arguments that are no subcommands
-	values    []string // the arguments that it accepts; empty: any
-	help      string   // help text
+	words            []string // path of the command, such as plan, need
+	acceptsArguments bool     // it accepts arguments other than subcommands
+	values           []string // accepted arguments; empty: any
+	help             string   // help text
 }
 
 // programName is the name of the program and of its folder in cmd/.
@@ -34,17 +34,17 @@
 // buildProgram builds the program.
 func buildProgram(t *testing.T) *program {
 	t.Helper()
-	p := &program{path: filepath.Join(programFolder, programName), known: map[string]*command{}}
+	p := &program{path: filepath.Join(programFolder, programName), commands: map[string]*command{}}
 	if out, err := exec.Command("go", "build", "-o", p.path, root+"/cmd/"+programName).CombinedOutput(); err != nil {
 		t.Fatalf("the program cannot be built: %v\n%s", err, out)
 	}
 	return p
 }
 
-// command returns the command that the first words name. The other words are its arguments.
+// command returns the command that the first words name. All other words are arguments of that command.
 func (p *program) command(words []string) (*command, error) {
 	key := strings.Join(words, " ")
-	if c, ok := p.known[key]; ok {
+	if c, ok := p.commands[key]; ok {
 		return c, nil
 	}
 	out, err := exec.Command(p.path, append(append([]string{}, words...), "--help")...).Output()
@@ -53,18 +53,18 @@
 	}
 	c := &command{help: string(out)}
 	c.readUsage(words)
-	if c.arguments {
+	if c.acceptsArguments {
 		c.values = p.values(c.words)
 	}
 	if list := strings.Join(append(c.words, "list"), " "); len(c.words) > 0 && strings.Contains(c.help, list) {
 		c.values = append(p.listed(c.words), "list")
 	}
-	p.known[key] = c
+	p.commands[key] = c
 	return c, nil
 }
 
-// readUsage sets the path of the command from the usage line of its help, as far as it matches the words that were looked up, and whether
-// the command accepts arguments.
+// readUsage reads the usage line of the command's help. It sets the path of the command to the part of that line that matches the words of
+// the look-up, and determines whether the command accepts arguments.
 func (c *command) readUsage(words []string) {
 	_, usage, _ := strings.Cut(c.help, "Usage:\n")
 	usage, _, _ = strings.Cut(usage, "\n")
@@ -74,14 +74,14 @@
 	}
 	for i, field := range fields[1:] { // the first one is the program
 		if i >= len(words) || field != words[i] {
-			c.arguments = field != "[flags]" && !strings.HasPrefix(field, "-")
+			c.acceptsArguments = field != "[flags]" && !strings.HasPrefix(field, "-")
 			return
 		}
 		c.words = append(c.words, field)
 	}
 }
 
-// values returns the arguments that the program offers for completion.
+// values returns the arguments that the program suggests for shell completion.
 func (p *program) values(words []string) (list []string) {
 	out, err := exec.Command(p.path, append(append([]string{"__complete"}, words...), "")...).Output()
 	if err != nil {
@@ -113,7 +113,7 @@
 
 // accepts reports whether the command accepts an argument.
 func (c *command) accepts(argument string) bool {
-	return c.arguments && (len(c.values) == 0 || slices.Contains(c.values, argument))
+	return c.acceptsArguments && (len(c.values) == 0 || slices.Contains(c.values, argument))
 }
 
 // hasFlag reports whether the help of the command lists a flag, given with its dashes.
@@ -130,7 +130,7 @@
 // all returns the commands that the program lists with their subcommands, and the hidden ones that pages name.
 func (p *program) all() (list []*command) {
 	if p.allListed {
-		for _, c := range p.known {
+		for _, c := range p.commands {
 			list = append(list, c)
 		}
 		return list
--- a/internal/docscheck/source_test.go
+++ b/internal/docscheck/source_test.go
@@ -19,7 +19,7 @@
 // root is the path of the repository, relative to this package.
 const root = "../.."
 
-// source is what the files of the repository declare.
+// source holds the paths of the repository, and the names and messages in its Go files.
 type source struct {
 	paths     map[string]bool            // files and directories, with slashes, relative to the root
 	baseNames map[string]bool            // names of files, without directories
@@ -104,8 +104,8 @@
 	})
 }
 
-// definedFlag returns the name of the flag that a node defines, where it is a call of a function of package flag. The name is the first
-// argument, as in flag.Int, or the second one, as in flag.IntVar.
+// definedFlag returns the name of the flag that a node defines. The node must be a call of a function of package flag. The name is the
+// first argument, as in flag.Int, or the second, as in flag.IntVar.
 func definedFlag(node ast.Node) (name string, ok bool) {
 	call, ok := node.(*ast.CallExpr)
 	if !ok {
@@ -189,8 +189,8 @@
 	return ""
 }
 
-// addMessages adds a pattern for each string expression of a file that may be a message. That is a literal, or a sum of literals and other
-// values. In the pattern, any text matches the formatting verbs of a literal and the other values.
+// addMessages adds a pattern for each string expression of a file that may be a message: a literal, or a sum of literals and other values.
+// In the pattern, formatting verbs and other values are replaced by anyText.
 func addMessages(patterns map[string]bool, file *ast.File) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		if _, ok := node.(*ast.ImportSpec); ok {
@@ -209,15 +209,15 @@
 			patterns["^"+pattern+"$"] = true
 		}
 		_, isSum := expression.(*ast.BinaryExpr)
-		return !isSum || letters == 0 // the parts of a sum are no messages of their own
+		return !isSum || letters == 0 // the parts of a sum are not separate messages
 	})
 }
 
 const (
 	// anyText replaces a value in the pattern of a message.
 	anyText = ".+"
-	// minFixedLetters is the least number of letters in the source of a message with values. It guards against patterns such as that of
-	// "%s: no %s", which would match many messages.
+	// minFixedLetters is the smallest number of fixed letters in a message with values. It excludes patterns such as that of "%s: no %s",
+	// which would match many messages.
 	minFixedLetters = 10
 )
 
@@ -255,7 +255,7 @@
 	return text, err == nil
 }
 
-// isIdentifier reports whether an expression is an identifier with a name.
+// isIdentifier reports whether an expression is an identifier with the given name.
 func isIdentifier(expression ast.Expr, name string) bool {
 	identifier, ok := expression.(*ast.Ident)
 	return ok && identifier.Name == name
