--- a/internal/testing/hollow/compare.go
+++ b/internal/testing/hollow/compare.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file compares what it costs a real director and a hollow one to follow control machines.
+// This file compares the cost of following control machines for a real director and for a hollow one.
 
 import (
 	"errors"
--- a/internal/testing/hollow/fit_test.go
+++ b/internal/testing/hollow/fit_test.go
@@ -44,7 +44,7 @@
 }
 
 // A fit holds if the error of its prediction is at most 15%, and the traffic holds if all fits do.
-func TestFitsHoldWithinTheBound(t *testing.T) {
+func TestFitsHoldWithinTolerance(t *testing.T) {
 	for extra, want := range map[float64]bool{70000: true, 110000: false, -70000: true, -100000: false} { // of 580,000
 		traffic := fitted(extra, 10, 290, 580)
 		received, written := traffic.Fits[0], traffic.Fits[1]
--- a/internal/testing/hollow/usage.go
+++ b/internal/testing/hollow/usage.go
@@ -21,7 +21,7 @@
 	sockets  map[string]socketCounts // of the open TCP connections, by name of the socket
 }
 
-// socketCounts counts what passed over one TCP connection, as the system counts it: without headers and retransmissions.
+// socketCounts holds the system's counts of one TCP connection. Its bytes are those of the payload, without headers and retransmissions.
 type socketCounts struct {
 	received, written uint64 // bytes
 	segments          uint64 // in both directions
--- a/internal/testing/hollow/vectors_test.go
+++ b/internal/testing/hollow/vectors_test.go
@@ -6,7 +6,7 @@
 	"indigochute.example/indigochute/internal/changefeed"
 )
 
-// Directors that lag in the newest epoch of an origin are listed. Those that differ only in ended epochs are counted apart.
+// Directors that lag in the newest epoch of an origin are listed. Those that differ only in ended epochs are counted separately.
 func TestCompareVectors(t *testing.T) {
 	type vector = changefeed.Vector
 	c0, c1 := changefeed.Position{Origin: "c0", Epoch: 2, Number: 9}, changefeed.Position{Origin: "c1", Epoch: 5, Number: 4}
--- a/internal/testing/hollow/window.go
+++ b/internal/testing/hollow/window.go
@@ -9,7 +9,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// maxLatency is the largest latency that windows record. Larger ones are recorded as this.
+// maxLatency is the largest latency that windows record. Larger ones are recorded as maxLatency.
 const maxLatency = 10 * time.Minute
 
 // latencyDigits is the precision of recorded latencies in decimal digits.
--- a/internal/testing/scenario/jobs_faults.go
+++ b/internal/testing/scenario/jobs_faults.go
@@ -29,7 +29,7 @@
 
 	// A director counts as disturbed until disturbanceTail after the end of its fault, as calls may still be on their way.
 	disturbanceTail = 3 * time.Second
-	openDisturbance = time.Minute // length of a disturbance whose end is not known yet
+	openDisturbance = time.Minute // length of a disturbance that has not ended yet
 
 	resumeAfterRelease = 50 * time.Millisecond // so that a delayed call arrives before its sender runs again
 )
@@ -137,7 +137,7 @@
 	}, func() { p.Start() }, p)
 }
 
-// breakOneWay drops what one director sends to another, or resets their connection within a frame.
+// breakOneWay drops all bytes that one director sends to another, or resets their connection in the middle of a frame.
 func (run *jobsRun) breakOneWay() {
 	p := run.randomProcess()
 	link := p.Name + ">" + run.randomProcess(p).Name
--- a/internal/testing/scenario/plan_capture.go
+++ b/internal/testing/scenario/plan_capture.go
@@ -83,7 +83,7 @@
 // capture has about as many requests as were sent.
 func checkCapture(network *topology.Topology, captured *capture.Capture, dropped, sent int, r *Report) {
 	if len(captured.Rows)+dropped < sent {
-		r.addViolation("the capture has %d requests and dropped %d, want %d in total", len(captured.Rows), dropped, sent)
+		r.addViolation("the capture has %d requests and dropped %d, want at least %d in total", len(captured.Rows), dropped, sent)
 	}
 	demand, err := capacity.DemandFromCapture(network, captured)
 	if err != nil {
--- a/internal/testing/scenario/scale_check_test.go
+++ b/internal/testing/scenario/scale_check_test.go
@@ -225,7 +225,7 @@
 	t.Helper()
 	for name, value := range r.Figures {
 		if math.IsNaN(value) || math.IsInf(value, 0) {
-			t.Errorf("%s is %v, want a finite value, as JSON represents no other", name, value)
+			t.Errorf("%s is %v, want a finite value, which JSON can represent", name, value)
 		}
 	}
 }
--- a/internal/testing/scenario/scale_collect.go
+++ b/internal/testing/scenario/scale_collect.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// maxInOneSecond returns how many of the times at most lie within the same second-long interval. It sorts the times.
+// maxInOneSecond returns the largest number of times that lie within any interval of one second. It sorts the times.
 func maxInOneSecond(times []time.Time) (largest int) {
 	slices.SortFunc(times, time.Time.Compare)
 	first := 0
--- a/internal/testing/scenario/scale_faults.go
+++ b/internal/testing/scenario/scale_faults.go
@@ -112,7 +112,7 @@
 }
 
 // cutOffEvidence returns the evidence that a region is cut off: its directors have links only to its own control machines, and
-// some of them lack links or lag behind. It returns no evidence unless both hold.
+// some of them lack links or lag behind. It returns an empty text unless both are the case.
 func (s *scaleRun) cutOffEvidence(region int) (string, error) {
 	inside := map[string]bool{}
 	for _, m := range s.layout.hollowDirectors() {
--- a/internal/testing/scenario/scenario.go
+++ b/internal/testing/scenario/scenario.go
@@ -1,5 +1,5 @@
 // Package scenario runs scripted failure tests against real processes and emulated machines on loopback. Each scenario tests
-// one subsystem in a bounded time and checks what was observed. A run returns a Report with figures and violations.
+// one subsystem in a bounded time and checks the observations. A run returns a Report with figures and violations.
 package scenario
 
 // This file holds what all scenarios share: the list of scenarios, the function that runs one by name, and the report.
