--- a/cmd/indigochute/check.go
+++ b/cmd/indigochute/check.go
@@ -54,7 +54,7 @@
 	if err := service.Check(out, path); err != nil {
 		return "", err
 	}
-	conf, err := config.File(path, "", "")
+	conf, err := config.ParseFile(path, "", "")
 	if err != nil {
 		return "", err
 	}
--- a/cmd/indigochute/leases_print.go
+++ b/cmd/indigochute/leases_print.go
@@ -69,9 +69,9 @@
 			instance.Health.Alive,
 			instance.Bus.Subscribers.Connected,
 		})
-		if len(instance.Lists) > 0 {
+		if len(instance.DifferingLists) > 0 {
 			fmt.Fprintf(out, "%s and %s know other control machines: they refuse each other's messages about duties.\n", instance.Name,
-				strings.Join(instance.Lists, ", "))
+				strings.Join(instance.DifferingLists, ", "))
 		}
 	}
 	for _, name := range status.Unreachable {
--- a/cmd/indigochute/migrate.go
+++ b/cmd/indigochute/migrate.go
@@ -99,9 +99,9 @@
 		return nil, nil, err
 	}
 	if o.back {
-		content, err = migrate.Back(raw)
+		content, err = migrate.ToOldShape(raw)
 	} else {
-		content, notCarried, err = migrate.To(raw, o.shape)
+		content, notCarried, err = migrate.ToNewShape(raw, o.shape)
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", source, err)
--- a/internal/capacity/answer.go
+++ b/internal/capacity/answer.go
@@ -39,7 +39,7 @@
 // names. It fails if the demand has no request of the goal's class or is too short for a run.
 func (p *Planner) Answer() (*Answer, error) {
 	answer := &Answer{
-		Fleet:             p.Fleet.Name,
+		Fleet:             p.Topology.Name,
 		Goal:              p.Goal.String(),
 		Requests:          len(p.Demand.Requests),
 		Rate:              p.Demand.Rate(allClassesIndex),
@@ -50,13 +50,13 @@
 	if answer.WantedFactor, err = p.Goal.Factor(p.Demand); err != nil {
 		return nil, err
 	}
-	if answer.FirstBreak, err = p.Break(p.Fleet, Failure{}); err != nil {
+	if answer.FirstBreak, err = p.Break(p.Topology, Failure{}); err != nil {
 		return nil, err
 	}
 	if answer.Causes, err = p.Causes(answer.FirstBreak, Failure{}, maxCauses); err != nil {
 		return nil, err
 	}
-	answer.Limits = Bounds(p.Fleet, p.Demand, answer.FirstBreak.Factor)
+	answer.Limits = Bounds(p.Topology, p.Demand, answer.FirstBreak.Factor)
 	answer.addDirectors()
 	answer.Limits = answer.Limits[:min(maxLimits, len(answer.Limits))]
 	answer.setMet()
--- a/internal/capacity/bounds_cores.go
+++ b/internal/capacity/bounds_cores.go
@@ -25,7 +25,7 @@
 	zones := make([][]*cacheLoad, len(b.network.Zones))
 	byID := map[uint32]*cacheLoad{}
 	for _, machine := range b.network.Machines() {
-		if machine.Role == topology.Cache {
+		if machine.Role == topology.CacheRole {
 			load := &cacheLoad{machine: machine, kind: &b.network.Kinds[machine.Kind]}
 			byID[machine.ID] = load
 			zones[machine.Zone] = append(zones[machine.Zone], load)
--- a/internal/capacity/bounds_links.go
+++ b/internal/capacity/bounds_links.go
@@ -72,7 +72,7 @@
 func (b *bounds) newFills() *fillBounds {
 	fills := &fillBounds{bounds: b, share: b.sampleShare(), byID: map[uint32]*sourceFills{}}
 	for _, machine := range b.network.Machines() {
-		if machine.Role == topology.Cache {
+		if machine.Role == topology.CacheRole {
 			continue
 		}
 		source := &sourceFills{machine: machine}
--- a/internal/capacity/causes.go
+++ b/internal/capacity/causes.go
@@ -29,7 +29,7 @@
 // the fullest limits a cause is the one whose relief moves the break furthest. Utilization alone would also name a busy
 // cache whose work other caches can take over.
 func (p *Planner) Causes(first *Break, failure Failure, count int) (causes []Cause, err error) {
-	network, found := p.Fleet, first
+	network, found := p.Topology, first
 	for len(causes) < count && !found.AlwaysHolds {
 		best, err := p.bestRelief(network, found, failure)
 		if err != nil {
@@ -92,7 +92,7 @@
 // limitGroupOf returns the group of a limit.
 func limitGroupOf(limit simulation.Use) limitGroup {
 	return limitGroup{
-		resource: limit.What,
+		resource: limit.Resource,
 		kind:     limit.Kind,
 		zone:     limit.Zone,
 		upstream: limit.ID >= topology.FirstParentID,
@@ -110,7 +110,7 @@
 		Name:      "machines that return",
 		Resource:  limitSlowStart,
 		Used:      1,
-		simulated: simulation.Use{What: limitSlowStart},
+		simulated: simulation.Use{Resource: limitSlowStart},
 	}
 	return append([]Utilization{slowStart}, found.Utilizations...)
 }
@@ -138,10 +138,10 @@
 func RelieveLimit(network *topology.Topology, limit simulation.Use, times float64) *topology.Topology {
 	larger := network.Clone()
 	switch {
-	case limit.What == limitSlowStart:
+	case limit.Resource == limitSlowStart:
 		larger.SlowStart.Floor = 1
 		larger.SlowStart.Ramp = 0
-	case limit.What == limitCores:
+	case limit.Resource == limitCores:
 		kind := &larger.Kinds[limit.Kind]
 		kind.Cores = int(math.Ceil(float64(kind.Cores) * times))
 		kind.Slots = int(float64(kind.Slots) * times)
--- a/internal/capacity/causes_test.go
+++ b/internal/capacity/causes_test.go
@@ -67,8 +67,8 @@
 	parent, origin := network.Machines()[5], network.Machines()[7]
 	found := &Break{Factor: 1}
 	for _, use := range []simulation.Use{
-		{Name: parent.Name, What: limitFetches, Kind: parent.Kind, Zone: parent.Zone, ID: parent.ID, Used: 0.9},
-		{Name: origin.Name, What: limitFetches, Kind: origin.Kind, Zone: origin.Zone, ID: origin.ID, Used: 0.8},
+		{Name: parent.Name, Resource: limitFetches, Kind: parent.Kind, Zone: parent.Zone, ID: parent.ID, Used: 0.9},
+		{Name: origin.Name, Resource: limitFetches, Kind: origin.Kind, Zone: origin.Zone, ID: origin.ID, Used: 0.8},
 	} {
 		found.Utilizations = append(found.Utilizations, utilizationOf(use))
 	}
--- a/internal/capacity/focus.go
+++ b/internal/capacity/focus.go
@@ -104,7 +104,7 @@
 	count := make([]int, len(network.Zones))
 	for _, machine := range network.Machines() {
 		hit := slices.Contains(failure.Restarted, machine.ID) || slices.Contains(failure.Removed, machine.ID)
-		if machine.Role != topology.Cache || !hit {
+		if machine.Role != topology.CacheRole || !hit {
 			continue
 		}
 		if count[machine.Zone] == 0 {
--- a/internal/capacity/homes.go
+++ b/internal/capacity/homes.go
@@ -33,7 +33,7 @@
 	}
 	for _, machine := range network.Machines() {
 		switch machine.Role {
-		case topology.Cache:
+		case topology.CacheRole:
 			zone := &found.zones[machine.Zone]
 			zone.caches = append(zone.caches, machine.ID)
 		case topology.ParentRole:
--- a/internal/capacity/loss.go
+++ b/internal/capacity/loss.go
@@ -39,14 +39,14 @@
 		worst := p.WorstRestart(share, factor)
 		return Failure{Restarted: worst.Machines}, &worst.Selection, nil
 	}
-	for z, zone := range p.Fleet.Zones {
+	for z, zone := range p.Topology.Zones {
 		if loss.Removal.Scope == scopeZone && zone.Name == loss.Removal.Name {
 			failure.LostZones = []int{z}
 			failure.ClientsLost = loss.Removal.ClientsLost
 		}
 	}
-	for _, m := range p.Fleet.Machines() {
-		if loss.Removal.removes(p.Fleet, m) {
+	for _, m := range p.Topology.Machines() {
+		if loss.Removal.removes(p.Topology, m) {
 			failure.Removed = append(failure.Removed, m.ID)
 		}
 	}
@@ -66,7 +66,7 @@
 	case a.Scope == scopeParent:
 		return m.Role == topology.ParentRole && network.Parents[m.Kind].Name == a.Name
 	case a.Scope == scopeKind:
-		return m.Role == topology.Cache && network.Kinds[m.Kind].Name == a.Name
+		return m.Role == topology.CacheRole && network.Kinds[m.Kind].Name == a.Name
 	}
 	return false
 }
@@ -90,7 +90,7 @@
 	}
 	planner := *p
 	if selection != nil {
-		planner.Span = max(p.Span, minRampsSimulated*p.Fleet.SlowStart.Ramp.Duration())
+		planner.Span = max(p.Span, minRampsSimulated*p.Topology.SlowStart.Ramp.Duration())
 	}
 	result := &LossResult{
 		Description: loss.String(),
@@ -101,7 +101,7 @@
 	if err := planner.simulateLoss(result, failure); err != nil {
 		return nil, err
 	}
-	if result.Break, err = planner.Break(p.Fleet, failure); err != nil {
+	if result.Break, err = planner.Break(p.Topology, failure); err != nil {
 		return nil, err
 	}
 	causes, err := planner.Causes(result.Break, failure, 1)
@@ -117,7 +117,7 @@
 // machineNames returns the names of the machines that a failure restarts or removes.
 func (p *Planner) machineNames(failure Failure) (names []string) {
 	byID := map[uint32]string{}
-	for _, m := range p.Fleet.Machines() {
+	for _, m := range p.Topology.Machines() {
 		byID[m.ID] = m.Name
 	}
 	for _, id := range slices.Concat(failure.Restarted, failure.Removed) {
@@ -129,13 +129,13 @@
 // simulateLoss sets the results of one run with the failure, compared with a run without the failure and a run with the
 // failure in which clients do not retry.
 func (p *Planner) simulateLoss(result *LossResult, failure Failure) error {
-	noRetries := p.Fleet.Clone()
+	noRetries := p.Topology.Clone()
 	noRetries.Clients.Retries = 0
-	failed, err := p.runOnce(p.Fleet, failure, result.Factor)
+	failed, err := p.runOnce(p.Topology, failure, result.Factor)
 	if err != nil {
 		return err
 	}
-	baseline, err := p.runOnce(p.Fleet, Failure{}, result.Factor)
+	baseline, err := p.runOnce(p.Topology, Failure{}, result.Factor)
 	if err != nil {
 		return err
 	}
--- a/internal/capacity/need.go
+++ b/internal/capacity/need.go
@@ -52,7 +52,7 @@
 // the goal names. It raises the numbers of all zones together until the goal holds, then lowers them one zone after the
 // other. The error is an UnmetError if no number is enough; the needs found before are returned with it.
 func (p *Planner) Needs(kind string) (needs []*Need, err error) {
-	kindIndex := slices.IndexFunc(p.Fleet.Kinds, func(k topology.CacheKind) bool { return k.Name == kind })
+	kindIndex := slices.IndexFunc(p.Topology.Kinds, func(k topology.CacheKind) bool { return k.Name == kind })
 	if kindIndex < 0 {
 		return nil, fmt.Errorf("the fleet has no kind %q", kind)
 	}
--- a/internal/capacity/need_search.go
+++ b/internal/capacity/need_search.go
@@ -29,12 +29,12 @@
 
 // run finds the need: first the least multiple for all zones together, then the number of each zone.
 func (s *needSearch) run() error {
-	kind := s.planner.Fleet.Kinds[s.kind]
+	kind := s.planner.Topology.Kinds[s.kind]
 	s.need = Need{Kind: kind.Name, Condition: withoutLoss, Current: map[string]int{}}
 	if s.loss != nil {
 		s.need.Condition = s.loss.String()
 	}
-	for _, zone := range s.planner.Fleet.Zones {
+	for _, zone := range s.planner.Topology.Zones {
 		if count := kind.CountByZone[zone.Name]; count > 0 {
 			s.zones = append(s.zones, zone.Name)
 			s.need.Current[zone.Name] = count
@@ -121,8 +121,8 @@
 // the required numbers found so far.
 func (s *needSearch) try(counts map[string]int) (holds bool, err error) {
 	planner := *s.planner
-	planner.Fleet = s.planner.Fleet.Clone()
-	planner.Fleet.Kinds[s.kind].CountByZone = counts
+	planner.Topology = s.planner.Topology.Clone()
+	planner.Topology.Kinds[s.kind].CountByZone = counts
 	var failure Failure
 	if s.loss != nil {
 		if failure, _, err = planner.Failure(s.loss, s.factor); err != nil {
@@ -133,7 +133,7 @@
 	for _, seed := range planner.Seeds {
 		setups = append(setups, Setup{Factor: s.factor, Seed: seed, Warmup: planner.Warmup, Span: planner.Span, Failure: failure})
 	}
-	results, err := planner.Runner(planner.Fleet, planner.Demand, setups)
+	results, err := planner.Runner(planner.Topology, planner.Demand, setups)
 	if err != nil {
 		return false, err
 	}
@@ -170,7 +170,7 @@
 		MaxCaches: maxCaches,
 	}
 	for _, use := range s.last.Utilizations {
-		if use.What != limitCores && (unmet.Limit == nil || use.Used > unmet.Limit.Used) {
+		if use.Resource != limitCores && (unmet.Limit == nil || use.Used > unmet.Limit.Used) {
 			limit := utilizationOf(use)
 			unmet.Limit = &limit
 		}
--- a/internal/capacity/planner.go
+++ b/internal/capacity/planner.go
@@ -27,13 +27,13 @@
 
 // Planner answers questions about one topology and one demand. It is not safe for concurrent use.
 type Planner struct {
-	Fleet  *topology.Topology
-	Demand *Demand
-	Goal   *Goal
-	Runner Runner
-	Seeds  []uint64      // one run each, if a question needs several runs
-	Warmup time.Duration // of each run, before the counted span
-	Span   time.Duration // length of the counted span
+	Topology *topology.Topology
+	Demand   *Demand
+	Goal     *Goal
+	Runner   Runner
+	Seeds    []uint64      // one run each, if a question needs several runs
+	Warmup   time.Duration // of each run, before the counted span
+	Span     time.Duration // length of the counted span
 
 	lastFocus  cachedFocus
 	lastBounds cachedBounds
@@ -54,7 +54,7 @@
 
 // NewPlanner returns a planner with the default lengths of runs. Its seeds are the given one and those that follow it.
 func NewPlanner(network *topology.Topology, demand *Demand, goal *Goal, runner Runner, seed uint64) *Planner {
-	p := &Planner{Fleet: network, Demand: demand, Goal: goal, Runner: runner, Warmup: defaultWarmup, Span: defaultSpan}
+	p := &Planner{Topology: network, Demand: demand, Goal: goal, Runner: runner, Warmup: defaultWarmup, Span: defaultSpan}
 	for i := range uint64(defaultSeeds) {
 		p.Seeds = append(p.Seeds, seed+i)
 	}
--- a/internal/capacity/restart_cost.go
+++ b/internal/capacity/restart_cost.go
@@ -49,7 +49,7 @@
 // newRestartCosts returns the costs for sets of the given caches. It computes loads, copies and spare link capacity from
 // Bounds at a multiple of the captured load.
 func newRestartCosts(planner *Planner, caches []topology.Machine, factor float64) *restartCosts {
-	network := planner.Fleet
+	network := planner.Topology
 	costs := &restartCosts{slowStart: network.SlowStart, zones: make([]zoneCapacity, len(network.Zones))}
 	loads, links := coreAndLinkLoads(network, planner.Demand, factor)
 	cached, read := cachedAndRead(network, planner.Demand)
--- a/internal/capacity/run_machines.go
+++ b/internal/capacity/run_machines.go
@@ -94,7 +94,7 @@
 	}
 	for _, machine := range r.machines {
 		listed := ids == nil || wanted[machine.ID]
-		cacheElsewhere := machine.Role == topology.Cache && machine.Zone != zone
+		cacheElsewhere := machine.Role == topology.CacheRole && machine.Zone != zone
 		if !listed || cacheElsewhere {
 			continue
 		}
@@ -102,7 +102,7 @@
 		endpoint := routing.Endpoint{
 			Node:       machine.ID,
 			State:      routing.Ready,
-			Kind:       machine.KindOf(),
+			Kind:       machine.DiscoveryKind(),
 			Zone:       machine.Zone,
 			StartKnown: restarted,
 			StartedAt:  startedAt,
--- a/internal/capacity/simulated_director.go
+++ b/internal/capacity/simulated_director.go
@@ -59,7 +59,7 @@
 	d.director.HandleRequest(d.run.now, routing.Request{
 		ID:       d.lastID,
 		Object:   request.Object,
-		Part:     request.Part,
+		Segment:  request.Part,
 		Group:    request.Group,
 		Class:    int(request.Class),
 		Deadline: d.run.now + d.run.network.Classes[request.Class].Timeout.Duration(),
--- a/internal/capacity/utilization.go
+++ b/internal/capacity/utilization.go
@@ -16,5 +16,5 @@
 
 // utilizationOf returns the utilization that the model recorded.
 func utilizationOf(use simulation.Use) Utilization {
-	return Utilization{Name: use.Name, Resource: use.What, Used: use.Used, simulated: use}
+	return Utilization{Name: use.Name, Resource: use.Resource, Used: use.Used, simulated: use}
 }
--- a/internal/capacity/worst_restart.go
+++ b/internal/capacity/worst_restart.go
@@ -41,8 +41,8 @@
 // least one cache.
 func (p *Planner) WorstRestart(share, factor float64) RestartSet {
 	var caches []topology.Machine
-	for _, machine := range p.Fleet.Machines() {
-		if machine.Role == topology.Cache {
+	for _, machine := range p.Topology.Machines() {
+		if machine.Role == topology.CacheRole {
 			caches = append(caches, machine)
 		}
 	}
@@ -53,7 +53,7 @@
 		combinations(len(caches), count, search.try)
 	} else {
 		search.tryRandom(p.Seeds[0], count)
-		search.tryZones(count, len(p.Fleet.Zones)) // a random set is hardly ever a zone that fails as a whole
+		search.tryZones(count, len(p.Topology.Zones)) // a random set is hardly ever a zone that fails as a whole
 	}
 	slices.Sort(search.triedCosts)
 	slices.Sort(search.machines)
--- a/internal/changefeed/backoff.go
+++ b/internal/changefeed/backoff.go
@@ -17,8 +17,8 @@
 	// RetryDelay is the time from a failed dial to the dial of another machine. Half of it is random. The default is 100 ms.
 	RetryDelay time.Duration
 	// MinBackoff is the time for which a machine is not dialled after a fault. Half of it is random. It doubles with each fault
-	// in a row, up to MaxBackoff. A link that was up for SteadyAfter ends the row. The defaults are 1 s, 5 s and 10 s.
-	MinBackoff, MaxBackoff, SteadyAfter time.Duration
+	// in a row, up to MaxBackoff. A link that was up for BackoffResetAfter ends the row. The defaults are 1 s, 5 s and 10 s.
+	MinBackoff, MaxBackoff, BackoffResetAfter time.Duration
 	// TrialDelay is the time after the last fault of a better machine before it is tried again. A random part of up to the same
 	// length is added. The better machine takes over once its link has been up for TakeoverAfter. Both guard against links that
 	// move back and forth with a machine that flaps. The defaults are 20 s and 5 s.
@@ -40,7 +40,7 @@
 	c.RetryDelay = cmp.Or(c.RetryDelay, defaultRetryDelay)
 	c.MinBackoff = cmp.Or(c.MinBackoff, defaultMinBackoff)
 	c.MaxBackoff = cmp.Or(c.MaxBackoff, defaultMaxBackoff)
-	c.SteadyAfter = cmp.Or(c.SteadyAfter, defaultSteadyAfter)
+	c.BackoffResetAfter = cmp.Or(c.BackoffResetAfter, defaultSteadyAfter)
 	c.TrialDelay = cmp.Or(c.TrialDelay, defaultTrialDelay)
 	c.TakeoverAfter = cmp.Or(c.TakeoverAfter, defaultTakeoverAfter)
 	return c
--- a/internal/changefeed/encode.go
+++ b/internal/changefeed/encode.go
@@ -11,9 +11,9 @@
 
 // Errors of the Parse functions, in addition to those of package msgpack.
 var (
-	ErrOrder = errors.New("positions out of order")
-	ErrShape = errors.New("a list of another length than expected")
-	ErrKind  = errors.New("a message of an unknown kind")
+	ErrOrder      = errors.New("positions out of order")
+	ErrListLength = errors.New("a list of another length than expected")
+	ErrKind       = errors.New("a message of an unknown kind")
 )
 
 // Numbers of values in the lists that encode the types.
@@ -140,7 +140,7 @@
 // list reads the head of a list, which must have a given length.
 func (v *valueReader) list(length int) {
 	if v.List(length) != length && v.shapeError == nil {
-		v.shapeError = ErrShape
+		v.shapeError = ErrListLength
 	}
 }
 
--- a/internal/changefeed/fetch.go
+++ b/internal/changefeed/fetch.go
@@ -259,7 +259,7 @@
 		return nil
 	}
 	if !n.store.admits(position.Origin, position.Epoch) {
-		n.counts.Old++
+		n.counts.OldEpochs++
 		return nil
 	}
 	head := n.position(position.Origin, position.Epoch)
@@ -356,8 +356,8 @@
 		return n.rejectOwnEvent(event)
 	}
 	if n.isOrigin(event.Origin) && event.Epoch > 0 && !n.store.admits(event.Origin, event.Epoch) {
-		n.counts.Old++
-		return Old
+		n.counts.OldEpochs++
+		return OldEpoch
 	}
 	position := n.position(event.Origin, event.Epoch)
 	verdict := n.reader.Accept(event)
--- a/internal/changefeed/node.go
+++ b/internal/changefeed/node.go
@@ -36,7 +36,7 @@
 	Evicted    int `json:"evicted"`    // events that were evicted before the end of their lifetime
 	Ahead      int `json:"ahead"`      // positions of fetches and subscribers that were ahead of the log
 	Invalid    int `json:"strange"`    // events, positions and messages that are of an unknown origin or that no machine can have sent
-	Old        int `json:"old"`        // events and positions of epochs that are too far back
+	OldEpochs  int `json:"old"`        // events and positions of epochs that are too far back
 	Losses     int `json:"short"`      // times that events were found to be lost
 	Fetches    int `json:"asked"`      // Fetch messages sent
 	Entries    int `json:"entries"`    // entries in the log now
@@ -156,7 +156,7 @@
 	counts.Gaps += read.Gaps
 	counts.Expired += read.Expired
 	counts.Invalid += read.Invalid
-	counts.Old += read.Old
+	counts.OldEpochs += read.OldEpochs
 	counts.Losses += read.Losses
 	counts.Evicted, counts.Entries, counts.Bytes = n.store.evicted, n.store.entries, n.store.bytes
 	return counts
--- a/internal/changefeed/reader.go
+++ b/internal/changefeed/reader.go
@@ -16,8 +16,8 @@
 	Expired
 	// Invalid is an event of an unknown origin, or one that no origin can have published.
 	Invalid
-	// Old is an event of an epoch that is too far back. It may have been accepted before.
-	Old
+	// OldEpoch is an event of an epoch that is too far back. It may have been accepted before.
+	OldEpoch
 	// Superseded is an event with a lower fencing number than an earlier event of its key. It moves the position, and is not
 	// handed on.
 	Superseded
@@ -43,7 +43,7 @@
 	Gaps       int `json:"gaps"`
 	Expired    int `json:"expired"`
 	Invalid    int `json:"strange"`
-	Old        int `json:"old"`
+	OldEpochs  int `json:"old"`
 	Losses     int `json:"short"` // times that events were found to be lost for good
 	Superseded int `json:"superseded"`
 }
@@ -61,8 +61,8 @@
 		c.Expired++
 	case Invalid:
 		c.Invalid++
-	case Old:
-		c.Old++
+	case OldEpoch:
+		c.OldEpochs++
 	case Superseded:
 		c.Superseded++
 	}
@@ -126,7 +126,7 @@
 	position, ok := r.ledger.position(event.Origin, event.Epoch)
 	switch {
 	case !ok:
-		return Old
+		return OldEpoch
 	case event.Number <= position:
 		return Duplicate
 	case event.Prev > position:
--- a/internal/changefeed/reader_test.go
+++ b/internal/changefeed/reader_test.go
@@ -72,13 +72,13 @@
 		epoch uint64
 		want  Verdict
 	}{
-		{9, Old},        // below the oldest known epoch
+		{9, OldEpoch},   // below the oldest known epoch
 		{11, Accepted},  // epoch 10 is forgotten
-		{10, Old},       // it must not be accepted a second time
+		{10, OldEpoch},  // it must not be accepted a second time
 		{11, Duplicate}, // still known
 		{12, Duplicate},
 		{1000, Accepted}, // epoch 11 is forgotten
-		{11, Old},
+		{11, OldEpoch},
 		{12, Duplicate},
 	} {
 		event := testEvent("a", step.epoch, 0, 5)
@@ -87,7 +87,7 @@
 		}
 	}
 	expectEqual(t, "number of positions", len(reader.Vector()), readerEpochs)
-	expectEqual(t, "old events", reader.Counts().Old, 3)
+	expectEqual(t, "old events", reader.Counts().OldEpochs, 3)
 }
 
 // TestReaderSetOrigins changes the list of origins. Positions of removed origins are remembered, up to MaxOrigins in all.
--- a/internal/changefeed/selector.go
+++ b/internal/changefeed/selector.go
@@ -132,7 +132,7 @@
 func (s *LinkSelector) LinkLost(now time.Duration, name string) []Action {
 	if i := s.slotOf(name, Linked); i >= 0 {
 		s.counts.Lost++
-		if now-s.slots[i].since >= s.config.SteadyAfter {
+		if now-s.slots[i].since >= s.config.BackoffResetAfter {
 			s.records[name].faultsInRow = 0
 		}
 		s.recordFault(now, name)
--- a/internal/changefeed/selector_test.go
+++ b/internal/changefeed/selector_test.go
@@ -219,7 +219,7 @@
 }
 
 // TestBackoffDoubles checks that the backoff of a machine doubles with each fault in a row up to a bound, and that a link that was up
-// for SteadyAfter ends the row.
+// for BackoffResetAfter ends the row.
 func TestBackoffDoubles(t *testing.T) {
 	selector := NewLinkSelector(SelectorConfig{Name: "d", Seed: 1}, []ControlMachine{{Name: "a"}}, 0)
 	now := time.Duration(0)
--- a/internal/changefeed/sim_traffic_test.go
+++ b/internal/changefeed/sim_traffic_test.go
@@ -227,7 +227,7 @@
 	switch verdict {
 	case Gap:
 		return false
-	case Invalid, Old:
+	case Invalid, OldEpoch:
 		sim.fail("%s was sent an event that is %v: %v", who, verdict, event.Event)
 	case Accepted, Expired, Superseded:
 		if event.LostUpTo > position {
--- a/internal/changefeed/store_test.go
+++ b/internal/changefeed/store_test.go
@@ -150,11 +150,11 @@
 			}
 			expectEqual(t, "evicted", node.Counts().Evicted, 0)
 			expectEqual(t, "accepted of an epoch older than all", receive(150), 0)
-			expectEqual(t, "old", node.Counts().Old, 1)
+			expectEqual(t, "old", node.Counts().OldEpochs, 1)
 			expectEqual(t, "accepted of an epoch between others", receive(203), 1)
 			expectEqual(t, "evicted", node.Counts().Evicted, 1)
 			expectEqual(t, "accepted of the evicted epoch", receive(200), 0)
-			expectEqual(t, "old", node.Counts().Old, 2)
+			expectEqual(t, "old", node.Counts().OldEpochs, 2)
 			logs := 0
 			for _, log := range node.store.sorted {
 				if log.origin == test.origin {
@@ -171,7 +171,7 @@
 			expectEqual(t, "fetches", len(out), 0)
 			out, _ = node.Receive(0, &Message{Kind: Fetch, From: "b", To: "a", Vector: Vector{{test.origin, 200, 0}}})
 			expectEqual(t, "answers", len(out), 0)
-			expectEqual(t, "old", node.Counts().Old, 3)
+			expectEqual(t, "old", node.Counts().OldEpochs, 3)
 
 			// Logs whose events have all expired are dropped, but their positions stay known.
 			node.Tick(2 * time.Minute)
--- a/internal/cluster/feed_test.go
+++ b/internal/cluster/feed_test.go
@@ -44,8 +44,8 @@
 
 	in.startMember("c2")
 	in.startMember("c3")
-	await(t, "c0 names c2", func() bool { return slices.Contains(in.members["c0"].Status().Lists, "c2") })
-	await(t, "c2 names c0", func() bool { return slices.Contains(in.members["c2"].Status().Lists, "c0") })
+	await(t, "c0 names c2", func() bool { return slices.Contains(in.members["c0"].Status().DifferingLists, "c2") })
+	await(t, "c2 names c0", func() bool { return slices.Contains(in.members["c2"].Status().DifferingLists, "c0") })
 	if status := in.members["c2"].Status(); status.LeaderlessFor == 0 || status.Lease.Role == lease.RoleLeader {
 		t.Errorf("two control machines of five have a leader: %+v", status.Lease)
 	}
@@ -54,7 +54,7 @@
 	in.members["c3"].Close()
 	in.file = listOfThree
 	in.startMember("c2")
-	await(t, "c0 names no machine", func() bool { return len(in.members["c0"].Status().Lists) == 0 })
+	await(t, "c0 names no machine", func() bool { return len(in.members["c0"].Status().DifferingLists) == 0 })
 }
 
 // Messages that cannot be decoded have no effect, neither at a control machine nor at a director.
@@ -76,7 +76,7 @@
 	if !in.allFollow() {
 		t.Error("a director does not follow any more")
 	}
-	if lists := member.Status().Lists; len(lists) > 0 {
+	if lists := member.Status().DifferingLists; len(lists) > 0 {
 		t.Errorf("the lists of %v are reported as different", lists)
 	}
 }
@@ -146,7 +146,7 @@
 	began := time.Now()
 	await(t, "caught up", func() bool { return follower.Status().Feed.Accepted == events })
 	took, status := time.Since(began), follower.Status()
-	received := float64(status.Uplinks.Received)
+	received := float64(status.Uplinks.ReceivedBytes)
 	t.Logf("%.0f bytes, %.1f a purge with its frame, in %v", received, (received-configurationBytes)/purges, took)
 
 	if received > mostBytes {
--- a/internal/cluster/follower.go
+++ b/internal/cluster/follower.go
@@ -98,14 +98,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.uplinks = peer.OpenUplinks(peer.UplinkOptions{
-		Name:         f.name,
-		Place:        f.file.Place(f.name),
-		Control:      controlMachines(f.file),
-		Spread:       f.file.Uplink.Spread.Duration(),
-		Seed:         seed.Sum64() ^ uint64(f.start.UnixNano()),
-		Log:          f.log,
-		Subscription: f.subscription,
-		Handler:      f.handleMessage,
+		Name:            f.name,
+		Place:           f.file.Place(f.name),
+		ControlMachines: controlMachines(f.file),
+		Spread:          f.file.Uplink.Spread.Duration(),
+		Seed:            seed.Sum64() ^ uint64(f.start.UnixNano()),
+		Log:             f.log,
+		Subscription:    f.subscription,
+		Handler:         f.handleMessage,
 	})
 }
 
@@ -223,14 +223,14 @@
 // only, nothing of the file is applied and the error is a *RestartError.
 func (f *Follower) Reload(file *clusterconfig.File) error {
 	f.mu.Lock()
-	if keys := file.FixedDifferences(f.file, f.name); len(keys) > 0 {
+	if keys := file.ChangesRequiringRestart(f.file, f.name); len(keys) > 0 {
 		f.mu.Unlock()
 		return &RestartError{Keys: keys}
 	}
 	f.file = file
 	f.reader.SetOrigins(file.ControlNames())
 	f.mu.Unlock()
-	f.uplinks.SetControl(controlMachines(file))
+	f.uplinks.SetControlMachines(controlMachines(file))
 	f.log.WithField("control", len(file.Control)).Info("operator file read again")
 	return nil
 }
--- a/internal/cluster/follower_test.go
+++ b/internal/cluster/follower_test.go
@@ -33,7 +33,7 @@
 
 	in.compareTaken()
 	for name, follower := range in.followers {
-		if status := follower.Status(); status.Feed.Losses > 0 || status.Feed.Old > 0 {
+		if status := follower.Status(); status.Feed.Losses > 0 || status.Feed.OldEpochs > 0 {
 			t.Errorf("%s: got %+v, want no losses and no old events", name, status.Feed)
 		}
 	}
--- a/internal/cluster/health.go
+++ b/internal/cluster/health.go
@@ -36,7 +36,7 @@
 // in the report.
 func (l *healthLearner) apply(now, age time.Duration, report *lease.HealthReport) {
 	for _, result := range l.accept(now, report) {
-		l.director.PeerHealth(result.Node, result.StartedUnix, result.Alive, result.Age+age)
+		l.director.HandlePeerHealth(result.Node, result.StartedUnix, result.Alive, result.Age+age)
 	}
 }
 
--- a/internal/cluster/installation_test.go
+++ b/internal/cluster/installation_test.go
@@ -24,7 +24,7 @@
 	alive        func(id uint32) bool
 	inconclusive func(id uint32) bool // whether a check has no result; nil: all have one
 	machines     []director.Machine
-	reports      atomic.Int64 // calls of PeerHealth
+	reports      atomic.Int64 // calls of HandlePeerHealth
 }
 
 // newFakeDirector returns a director that knows so many machines, whose ids count from 1.
@@ -48,7 +48,7 @@
 	return d.alive(machine.ID), true
 }
 
-func (d *fakeDirector) PeerHealth(uint32, int64, bool, time.Duration) { d.reports.Add(1) }
+func (d *fakeDirector) HandlePeerHealth(uint32, int64, bool, time.Duration) { d.reports.Add(1) }
 
 // startAlone starts an installation of one instance with two health check jobs.
 func startAlone(t *testing.T, local *fakeDirector) *Member {
--- a/internal/cluster/log.go
+++ b/internal/cluster/log.go
@@ -21,7 +21,7 @@
 // warn writes a warning with the number of warnings skipped since the last one, or skips it.
 func (l *limitedLog) warn(log *logrus.Entry, message string) {
 	l.mu.Lock()
-	skipped, ok := l.limit.Pass(time.Now())
+	skipped, ok := l.limit.Allow(time.Now())
 	l.mu.Unlock()
 	if ok {
 		log.WithField("skipped", skipped).Warn(message)
--- a/internal/cluster/member.go
+++ b/internal/cluster/member.go
@@ -32,9 +32,9 @@
 	// CheckMachine makes a health check of a machine within a timeout. If a vhost and an object are given it requests that object
 	// as well. A check that is not conclusive, as after a failure of this host, has no result.
 	CheckMachine(machine director.Machine, timeout time.Duration, vhost, object string) (alive, conclusive bool)
-	// PeerHealth applies the result of a health check that another instance made. StartedUnix is the start time of the machine
+	// HandlePeerHealth applies the result of a health check that another instance made. StartedUnix is the start time of the machine
 	// that was checked, in Unix milliseconds; age is the time since the check began.
-	PeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration)
+	HandlePeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration)
 }
 
 const (
@@ -180,7 +180,7 @@
 // is a *RestartError.
 func (m *Member) Reload(file *clusterconfig.File) error {
 	m.mu.Lock()
-	if keys := file.FixedDifferences(m.file, m.name); len(keys) > 0 {
+	if keys := file.ChangesRequiringRestart(m.file, m.name); len(keys) > 0 {
 		m.mu.Unlock()
 		return &RestartError{Keys: keys}
 	}
@@ -195,7 +195,7 @@
 
 // RestartError is the error of an operator file that was not applied because it changes keys that take effect at a start only.
 type RestartError struct {
-	Keys []string // from clusterconfig.File.FixedDifferences
+	Keys []string // from clusterconfig.File.ChangesRequiringRestart
 }
 
 // Error names the keys.
--- a/internal/cluster/status.go
+++ b/internal/cluster/status.go
@@ -25,8 +25,8 @@
 	Truncated bool              `json:"cut"`    // lists were shortened to fit a frame
 
 	// Of a control machine:
-	Feed  *FeedStatus `json:"stream,omitempty"`
-	Lists []string    `json:"lists,omitempty"` // control machines with another list of control machines
+	Feed           *FeedStatus `json:"stream,omitempty"`
+	DifferingLists []string    `json:"lists,omitempty"` // control machines with another list of control machines
 	// LeaderlessFor is for how long no majority has followed a leader, as far as this instance knows; 0: one does.
 	LeaderlessFor time.Duration `json:"without_ns"`
 	// Of a director that follows control machines:
@@ -59,7 +59,7 @@
 	}
 	if m.feed != nil {
 		status.Feed = &FeedStatus{m.feed.Counts(), m.feed.Vector()}
-		status.Lists = slices.Clone(m.differingMachines)
+		status.DifferingLists = slices.Clone(m.differingMachines)
 		status.LeaderlessFor = m.lease.LeaderlessFor(now)
 	}
 	return status
--- a/internal/clusterconfig/changes.go
+++ b/internal/clusterconfig/changes.go
@@ -4,13 +4,13 @@
 
 import "slices"
 
-// FixedDifferences returns the settings that differ between f and other and that the running machine of a name cannot change
+// ChangesRequiringRestart returns the settings that differ between f and other and that the running machine of a name cannot change
 // without a restart. If there are none the machine can go on with the other file. The list of directors, addresses, places and
 // duties may change. The names of members and the times of leases may not: members with different ones could hold a lease at the
 // same time. A director neither votes nor holds leases, so for a director they may change as well.
 //
 // The texts that it returns are shown to users and must not change.
-func (f *File) FixedDifferences(other *File, name string) (differences []string) {
+func (f *File) ChangesRequiringRestart(other *File, name string) (differences []string) {
 	role, otherRole := f.Role(name), other.Role(name)
 	if role != otherRole {
 		differences = append(differences, "this machine's role")
@@ -24,7 +24,7 @@
 	return append(differences, f.memberDifferences(other)...)
 }
 
-// memberDifferences is FixedDifferences, without the role, for a machine that votes and holds leases.
+// memberDifferences is ChangesRequiringRestart, without the role, for a machine that votes and holds leases.
 func (f *File) memberDifferences(other *File) (differences []string) {
 	if !slices.Equal(f.MemberNames(), other.MemberNames()) {
 		if f.Control != nil || other.Control != nil {
--- a/internal/clusterconfig/control_test.go
+++ b/internal/clusterconfig/control_test.go
@@ -395,12 +395,12 @@
 	} {
 		t.Run(test.new+" at "+test.name, func(t *testing.T) {
 			changed := mustParse(t, replaceOnce(t, smallFile, test.old, test.new), "")
-			if got := strings.Join(changed.FixedDifferences(before, test.name), ", "); got != test.differences {
+			if got := strings.Join(changed.ChangesRequiringRestart(before, test.name), ", "); got != test.differences {
 				t.Errorf("got differences %q, want %q", got, test.differences)
 			}
 		})
 	}
-	differences := mustParse(t, string(deployedFile(t)), "").FixedDifferences(before, "d0")
+	differences := mustParse(t, string(deployedFile(t)), "").ChangesRequiringRestart(before, "d0")
 	if !slices.Contains(differences, "this machine's role") || !slices.Contains(differences, "the names of control machines") {
 		t.Errorf("instances in place of control machines: got differences %q", differences)
 	}
--- a/internal/compat/cluster_test.go
+++ b/internal/compat/cluster_test.go
@@ -29,7 +29,7 @@
 	return m.ID != 1, true
 }
 
-func (d twoMachines) PeerHealth(id uint32, started int64, alive bool, _ time.Duration) {
+func (d twoMachines) HandlePeerHealth(id uint32, started int64, alive bool, _ time.Duration) {
 	select {
 	case d.reports <- fmt.Sprintf("%d started %d alive %t", id, started, alive):
 	default:
--- a/internal/compat/codecs_test.go
+++ b/internal/compat/codecs_test.go
@@ -158,12 +158,12 @@
 // TestDiscoveryJSON checks the endpoint list as it is written in a configuration.
 func TestDiscoveryJSON(t *testing.T) {
 	zones, kinds := []string{"west", "east, far"}, []string{"box", "mid", "root"}
-	b, err := json.MarshalIndent(discovery.KnownJSON(7, discoveryMachines(), zones, kinds), "", " ")
+	b, err := json.MarshalIndent(discovery.NewSnapshot(7, discoveryMachines(), zones, kinds), "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden(t, "discovery_known.json", append(b, '\n'))
-	last, events, err := discovery.Known(readGolden(t, "discovery_known.json"), zones, kinds)
+	last, events, err := discovery.ParseKnown(readGolden(t, "discovery_known.json"), zones, kinds)
 	want := []discovery.Event{{Number: 7, Endpoints: discoveryMachines(), Complete: true}}
 	if err != nil || last != 7 || !reflect.DeepEqual(events, want) {
 		t.Errorf("the golden bytes are read as last event %d, %+v, error %v, want 7, one complete event", last, events, err)
--- a/internal/compat/peer_test.go
+++ b/internal/compat/peer_test.go
@@ -332,9 +332,9 @@
 	l := listen(t)
 	received := make(chan string, 1)
 	uplinks := peer.OpenUplinks(peer.UplinkOptions{Name: "d0", Spread: time.Millisecond, Seed: 1, Log: quietLog(),
-		Control:      []peer.ControlMachine{{ControlMachine: changefeed.ControlMachine{Name: "c0"}, Addr: l.Addr().String()}},
-		Subscription: func() (string, []byte) { return "from", []byte("payload \x00\xff") },
-		Handler:      func(topic string, payload []byte) { received <- topic + " " + string(payload) }})
+		ControlMachines: []peer.ControlMachine{{ControlMachine: changefeed.ControlMachine{Name: "c0"}, Addr: l.Addr().String()}},
+		Subscription:    func() (string, []byte) { return "from", []byte("payload \x00\xff") },
+		Handler:         func(topic string, payload []byte) { received <- topic + " " + string(payload) }})
 	t.Cleanup(uplinks.Close)
 	nc := accept(t, l)
 	hello := readFrame(t, nc)
--- a/internal/compat/settings_test.go
+++ b/internal/compat/settings_test.go
@@ -49,7 +49,7 @@
 	line("seed", s.Seed)
 	line("me", s.Index)
 	line("zone", s.Zone)
-	line("domain.hubOf", s.Hub)
+	line("domain.hubOf", s.HubOfZone)
 	line("domain.midKind", s.ParentKind)
 	line("domain.sourceKind", s.OriginKind)
 	line("domain.mayPassBy", s.BypassAllowed)
@@ -82,7 +82,7 @@
 		line(prefix+"window", v.DedupWindow)
 		line(prefix+"classFresh", v.FreshFor)
 		line(prefix+"classGrace", v.StaleGrace)
-		line(prefix+"inParts", v.SplitInParts)
+		line(prefix+"inParts", v.Segmented)
 		line(prefix+"passOn", v.Write)
 	}
 	return b.Bytes()
@@ -113,7 +113,7 @@
 
 // TestSimulatorSettings checks the settings that are read from the text that the simulator passes.
 func TestSimulatorSettings(t *testing.T) {
-	s, err := config.Text(simulatorSettings)
+	s, err := config.ParseText(simulatorSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -64,12 +64,12 @@
 	if path == "" {
 		return nil, errors.New(envFile + ": missing, the path of the configuration file is expected")
 	}
-	return File(path, os.Getenv(envName), os.Getenv(envListen))
+	return ParseFile(path, os.Getenv(envName), os.Getenv(envListen))
 }
 
-// File reads a configuration file. Name and listen override the file's values, unless empty. The error for a file that cannot be
+// ParseFile reads a configuration file. Name and listen override the file's values, unless empty. The error for a file that cannot be
 // read is an *fs.PathError; Parse documents the others.
-func File(path, name, listen string) (*Config, error) {
+func ParseFile(path, name, listen string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -217,6 +217,6 @@
 	}
 	c.Zones = names.Zones
 	var err error
-	c.LastEvent, c.Known, err = discovery.Known(parts.Known, names.Zones, names.Models)
+	c.LastEvent, c.Known, err = discovery.ParseKnown(parts.Known, names.Zones, names.Models)
 	return err
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settings, err := Text(completeText)
+	settings, err := ParseText(completeText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,7 +157,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.key, func(t *testing.T) {
-			if _, err := Text(test.text); err == nil || !strings.HasPrefix(err.Error(), test.key+":") {
+			if _, err := ParseText(test.text); err == nil || !strings.HasPrefix(err.Error(), test.key+":") {
 				t.Errorf("%s: error %v, want one of %s", test.text, err, test.key)
 			}
 		})
--- a/internal/config/file_test.go
+++ b/internal/config/file_test.go
@@ -27,7 +27,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			config, err := File(test.path, "", "")
+			config, err := ParseFile(test.path, "", "")
 			if !errors.Is(err, test.want) || config != nil || !strings.Contains(err.Error(), test.path) {
 				t.Errorf("configuration %v, error %v, want none and %v", config, err, test.want)
 			}
@@ -44,7 +44,7 @@
 			if err := os.WriteFile(path, []byte(completeJSON[:cut]+tail), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			if config, err := File(path, "", ""); err == nil || config != nil {
+			if config, err := ParseFile(path, "", ""); err == nil || config != nil {
 				t.Fatalf("cut at %d of %d, tail %q: accepted", cut, len(completeJSON), tail)
 			}
 		}
@@ -52,7 +52,7 @@
 	if err := os.WriteFile(path, []byte(completeJSON), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := File(path, "", ""); err != nil {
+	if _, err := ParseFile(path, "", ""); err != nil {
 		t.Errorf("the complete file: %v", err)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -16,9 +16,9 @@
 // noKind stands for the tier of parents or origins where a deployment has no such tier.
 const noKind = -1
 
-// Text reads the settings from lines of path=value, the form in which the simulator passes them. Absent values are zero. The error
+// ParseText reads the settings from lines of path=value, the form in which the simulator passes them. Absent values are zero. The error
 // is a *KeyError, for the first faulty value.
-func Text(text string) (routing.Settings, error) {
+func ParseText(text string) (routing.Settings, error) {
 	table := parseText(text)
 	settings := newSettings(table)
 	return settings, table.err
@@ -30,7 +30,7 @@
 	result := routing.Settings{
 		Index:             settings.integer("me"),
 		Zone:              settings.integer("zone"),
-		Hub:               settings.integers("domain.hubOf"),
+		HubOfZone:         settings.integers("domain.hubOf"),
 		ParentKind:        kind(settings, "domain.midKind"),
 		OriginKind:        kind(settings, "domain.sourceKind"),
 		BypassAllowed:     settings.isTrue("domain.mayPassBy"),
@@ -134,7 +134,7 @@
 		DedupWindow:      settings.duration(path + "window"),
 		FreshFor:         settings.item("domain.classFresh", index).duration(""),
 		StaleGrace:       settings.item("domain.classGrace", index).duration(""),
-		SplitInParts:     settings.item("domain.inParts", index).isTrue(""),
+		Segmented:        settings.item("domain.inParts", index).isTrue(""),
 		Write:            settings.item("domain.passOn", index).isTrue(""),
 		Effect:           effect(settings.text(path + "idempotency")),
 		DedupScope:       dedupScope(settings.text(path + "group")),
--- a/internal/director/bounds.go
+++ b/internal/director/bounds.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Limit sets the limits of the Go runtime for the process: the number of threads that run at a time, and the memory from
+// SetRuntimeLimits sets the limits of the Go runtime for the process: the number of threads that run at a time, and the memory from
 // which on the garbage collector works harder, three quarters of the configured memory.
-func Limit(conf *config.Config) {
+func SetRuntimeLimits(conf *config.Config) {
 	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
 	debug.SetMemoryLimit(int64(conf.MemoryMB) * bytesPerMB * 3 / 4)
 	debug.SetGCPercent(gcPercent)
--- a/internal/director/health_check.go
+++ b/internal/director/health_check.go
@@ -68,9 +68,9 @@
 	return ok && d.config.Settings.Classes[index].Effect == routing.Idempotent
 }
 
-// PeerHealth reports to routing what another director saw of a machine. startedUnix is the machine's start as that director
+// HandlePeerHealth reports to routing what another director saw of a machine. startedUnix is the machine's start as that director
 // knows it, and age how long ago it saw the machine.
-func (d *Director) PeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration) {
+func (d *Director) HandlePeerHealth(id uint32, startedUnix int64, alive bool, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	defer d.recoverDefect("told")
--- a/internal/director/observer.go
+++ b/internal/director/observer.go
@@ -56,7 +56,7 @@
 		ArrivedAt:   r.arrivedAt,
 		Class:       -1,
 		Object:      r.routed.Object,
-		Part:        r.routed.Part,
+		Part:        r.routed.Segment,
 		Group:       r.routed.Group,
 		BytesIn:     len(r.message.Body),
 		Disposition: r.disposition(),
--- a/internal/director/request_fields.go
+++ b/internal/director/request_fields.go
@@ -45,8 +45,8 @@
 	if err = r.checkTimeoutAndKeys(r.director.config.Settings.Classes[class]); err != nil {
 		return routed, err
 	}
-	routed.Part, routed.Group = uint32(part), uint32(group)
-	routed.Deadline, routed.Unproven = r.deadline, !r.client.everServed.Load()
+	routed.Segment, routed.Group = uint32(part), uint32(group)
+	routed.Deadline, routed.ClientUnproven = r.deadline, !r.client.everServed.Load()
 	return routed, nil
 }
 
--- a/internal/discovery/bench_test.go
+++ b/internal/discovery/bench_test.go
@@ -94,13 +94,13 @@
 	}
 	for _, size := range []int{20, 70, 140, 280} {
 		b.Run(fmt.Sprintf("machines=%d", size), func(b *testing.B) {
-			raw, err := json.Marshal(KnownJSON(1, endpoints(size), zones, kinds))
+			raw, err := json.Marshal(NewSnapshot(1, endpoints(size), zones, kinds))
 			if err != nil {
 				b.Fatal(err)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				_, events, err := Known(raw, zones, kinds)
+				_, events, err := ParseKnown(raw, zones, kinds)
 				if err != nil || len(events) != 1 || len(events[0].Endpoints) != size {
 					b.Fatalf("%d events, error %v", len(events), err)
 				}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -158,7 +158,7 @@
 
 // readKnown reads events as a configuration with the settings of knownJSON holds them.
 func readKnown(text string) (last uint64, events []Event, err error) {
-	return Known([]byte(text), []string{"west", "east"}, []string{"std"})
+	return ParseKnown([]byte(text), []string{"west", "east"}, []string{"std"})
 }
 
 // TestKnown: the events of a configuration are read, and the error of a faulty value names its path.
@@ -210,11 +210,11 @@
 		{ID: 7, Addr: netip.MustParseAddrPort("10.1.0.9:8443"), State: routing.Gone, Zone: 1, Kind: 1, Cell: 2, Capacity: 0.5, StartedUnix: 1764576000123},
 		{ID: 8, Addr: netip.MustParseAddrPort("10.1.0.8:1"), State: routing.Draining},
 	}
-	raw, err := json.Marshal(KnownJSON(9, written, zones, kinds))
+	raw, err := json.Marshal(NewSnapshot(9, written, zones, kinds))
 	if err != nil {
 		t.Fatal(err)
 	}
-	last, events, err := Known(raw, zones, kinds)
+	last, events, err := ParseKnown(raw, zones, kinds)
 	if want := []Event{{Number: 9, Endpoints: written, Complete: true}}; err != nil || last != 9 || !reflect.DeepEqual(events, want) {
 		t.Errorf("last %d, %+v, error %v, want last 9, %+v", last, events, err, want)
 	}
--- a/internal/discovery/snapshot.go
+++ b/internal/discovery/snapshot.go
@@ -83,9 +83,9 @@
 	return &FieldError{Path: path, Err: fmt.Errorf(format, args...)}
 }
 
-// Known reads the events that a configuration holds, and the number of the newest. Zones and kinds are the names that its settings
+// ParseKnown reads the events that a configuration holds, and the number of the newest. Zones and kinds are the names that its settings
 // list; Endpoint.Zone and Endpoint.Kind are indices in these lists. Errors are *FieldError.
-func Known(raw json.RawMessage, zones, kinds []string) (last uint64, events []Event, err error) {
+func ParseKnown(raw json.RawMessage, zones, kinds []string) (last uint64, events []Event, err error) {
 	var snapshot Snapshot
 	if err := json.Unmarshal(raw, &snapshot); err != nil {
 		return 0, nil, &FieldError{Path: "known", Err: err}
@@ -176,9 +176,9 @@
 	return purge, nil
 }
 
-// KnownJSON returns the JSON form of a configuration's events where the only one is a full snapshot of endpoints, with this
+// NewSnapshot returns the JSON form of a configuration's events where the only one is a full snapshot of endpoints, with this
 // number. Zones and kinds are as for Known.
-func KnownJSON(number uint64, endpoints []Endpoint, zones, kinds []string) *Snapshot {
+func NewSnapshot(number uint64, endpoints []Endpoint, zones, kinds []string) *Snapshot {
 	list := &snapshotEndpoints{Sequence: sequence(number), Complete: true}
 	for _, endpoint := range endpoints {
 		list.Endpoints = append(list.Endpoints, snapshotEndpoint{
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -56,9 +56,9 @@
 	{"limits.probing", "false", func(shape Shape) any { return shape.Probes }},
 }
 
-// To converts a file of the old shape to the new shape. It also returns a line for each thing that could not be carried over. The error
+// ToNewShape converts a file of the old shape to the new shape. It also returns a line for each thing that could not be carried over. The error
 // for a faulty or unknown value names its key.
-func To(raw []byte, shape Shape) (converted []byte, lost []string, err error) {
+func ToNewShape(raw []byte, shape Shape) (converted []byte, lost []string, err error) {
 	if err := shape.Check(); err != nil {
 		return nil, nil, err
 	}
@@ -99,9 +99,9 @@
 	return previous, nil
 }
 
-// Back converts a file that To returned back to the original one, with new formatting. The error for a faulty, unknown or missing value
+// ToOldShape converts a file that To returned back to the original one, with new formatting. The error for a faulty, unknown or missing value
 // names its key.
-func Back(raw []byte) ([]byte, error) {
+func ToOldShape(raw []byte) ([]byte, error) {
 	tree, settings, err := read(raw)
 	if err != nil {
 		return nil, err
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -34,7 +34,7 @@
 
 // TestThereAndBack: the file of the new shape states the shape and is otherwise the same; Back restores the old one.
 func TestThereAndBack(t *testing.T) {
-	converted, lost, err := To([]byte(oldConfig), newShape)
+	converted, lost, err := ToNewShape([]byte(oldConfig), newShape)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 		t.Errorf("the first endpoint has capacity %v, want 6.5", capacity)
 	}
 	checkLost(t, lost)
-	restored, err := Back(converted)
+	restored, err := ToOldShape(converted)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -96,7 +96,7 @@
 	for _, test := range cases {
 		t.Run(test.prefix, func(t *testing.T) {
 			faulty := strings.Replace(oldConfig, test.text, test.faulty, 1)
-			if _, _, err := To([]byte(faulty), newShape); err == nil || !strings.HasPrefix(err.Error(), test.prefix) {
+			if _, _, err := ToNewShape([]byte(faulty), newShape); err == nil || !strings.HasPrefix(err.Error(), test.prefix) {
 				t.Errorf("%s for %s: error %v, want one that begins with %q", test.faulty, test.text, err, test.prefix)
 			}
 		})
--- a/internal/peer/accept.go
+++ b/internal/peer/accept.go
@@ -42,7 +42,7 @@
 	if errors.Is(err, net.ErrClosed) { // the end of the loop, no fault
 		return a.delay
 	}
-	if skipped, ok := a.logLimit.Pass(time.Now()); ok && a.log != nil {
+	if skipped, ok := a.logLimit.Allow(time.Now()); ok && a.log != nil {
 		a.log.WithError(err).WithField("skipped", skipped).Warn("peer: no connection can be accepted")
 	}
 	return a.delay
--- a/internal/peer/inbound.go
+++ b/internal/peer/inbound.go
@@ -177,7 +177,7 @@
 		b.subscribers.count(func(n *SubscribersStatus) { n.Rejected++ })
 	}
 	b.mu.Lock()
-	skipped, ok := b.rejectionLog.Pass(time.Now())
+	skipped, ok := b.rejectionLog.Allow(time.Now())
 	b.mu.Unlock()
 	if ok {
 		log := b.options.Log.WithFields(logrus.Fields{"peer": name, "addr": addr, "skipped": skipped})
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -63,16 +63,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return LinkStatus{
-		Name:    l.name,
-		Addr:    l.addr,
-		State:   linkStateNames[l.state],
-		In:      inbound,
-		Queued:  len(l.queue),
-		Sent:    l.sent,
-		Bytes:   l.writtenBytes,
-		Dropped: l.dropped,
-		Dials:   l.dials,
-		RTT:     milliseconds(l.rtt),
+		Name:         l.name,
+		Addr:         l.addr,
+		State:        linkStateNames[l.state],
+		Inbound:      inbound,
+		Queued:       len(l.queue),
+		Sent:         l.sent,
+		WrittenBytes: l.writtenBytes,
+		Dropped:      l.dropped,
+		Dials:        l.dials,
+		RTT:          milliseconds(l.rtt),
 	}
 }
 
--- a/internal/peer/ratelimit.go
+++ b/internal/peer/ratelimit.go
@@ -82,8 +82,8 @@
 	skipped int       // lines skipped since then
 }
 
-// Pass reports whether a line may be written now, and how many were skipped since the last one.
-func (l *LogLimit) Pass(now time.Time) (skipped int, ok bool) {
+// Allow reports whether a line may be written now, and how many were skipped since the last one.
+func (l *LogLimit) Allow(now time.Time) (skipped int, ok bool) {
 	if !l.passed.IsZero() && now.Sub(l.passed) < logLimitInterval {
 		l.skipped++
 		return 0, false
--- a/internal/peer/scale_test.go
+++ b/internal/peer/scale_test.go
@@ -120,9 +120,9 @@
 func meshTraffic(buses []*Bus) (written int64, up int) {
 	for _, bus := range buses {
 		status := bus.Status()
-		written += status.Pongs
+		written += status.PongBytes
 		for _, link := range status.Links {
-			written += link.Bytes
+			written += link.WrittenBytes
 			if link.State == "up" {
 				up++
 			}
@@ -167,14 +167,14 @@
 	var all []*Uplinks
 	for i, name := range names {
 		uplinks := OpenUplinks(UplinkOptions{
-			Name:         name,
-			Place:        scalePlace(i),
-			Control:      control,
-			Spread:       800 * time.Millisecond,
-			Seed:         uint64(i),
-			Log:          log,
-			Subscription: subscriptionOf200Bytes,
-			Handler:      func(string, []byte) {},
+			Name:            name,
+			Place:           scalePlace(i),
+			ControlMachines: control,
+			Spread:          800 * time.Millisecond,
+			Seed:            uint64(i),
+			Log:             log,
+			Subscription:    subscriptionOf200Bytes,
+			Handler:         func(string, []byte) {},
 		})
 		defer uplinks.Close()
 		all = append(all, uplinks)
@@ -224,7 +224,7 @@
 func uplinkTraffic(all []*Uplinks) (written, received int64, up int) {
 	for _, uplinks := range all {
 		status := uplinks.Status()
-		written, received, up = written+status.Written, received+status.Received, up+status.Up
+		written, received, up = written+status.WrittenBytes, received+status.ReceivedBytes, up+status.Up
 	}
 	return written, received, up
 }
--- a/internal/peer/status.go
+++ b/internal/peer/status.go
@@ -25,23 +25,23 @@
 	Incarnation uint64            `json:"incarnation"`
 	Links       []LinkStatus      `json:"links"` // by name
 	Counts      Counts            `json:"refused"`
-	Pongs       int64             `json:"pong_bytes"` // bytes of pongs written to peers; LinkStatus.Bytes does not count them
+	PongBytes   int64             `json:"pong_bytes"` // bytes of pongs written to peers; LinkStatus.Bytes does not count them
 	Subscribers SubscribersStatus `json:"subscribers"`
 }
 
 // LinkStatus is the status of a link to a peer. It counts from when the peer was listed at this address. The JSON keys and the
 // states must not change.
 type LinkStatus struct {
-	Name    string  `json:"name"`
-	Addr    string  `json:"addr"`
-	State   string  `json:"state"` // waiting, dialling, up or refused
-	In      int     `json:"in"`    // connections that the peer dialled
-	Queued  int     `json:"queued"`
-	Sent    int     `json:"sent"`    // messages
-	Bytes   int64   `json:"bytes"`   // written: messages and pings, with their frames
-	Dropped int     `json:"dropped"` // messages
-	Dials   int     `json:"dials"`
-	RTT     float64 `json:"rtt_ms"` // of the last ping; 0: not known
+	Name         string  `json:"name"`
+	Addr         string  `json:"addr"`
+	State        string  `json:"state"` // waiting, dialling, up or refused
+	Inbound      int     `json:"in"`    // connections that the peer dialled
+	Queued       int     `json:"queued"`
+	Sent         int     `json:"sent"`    // messages
+	WrittenBytes int64   `json:"bytes"`   // written: messages and pings, with their frames
+	Dropped      int     `json:"dropped"` // messages
+	Dials        int     `json:"dials"`
+	RTT          float64 `json:"rtt_ms"` // of the last ping; 0: not known
 }
 
 // Status returns the present status.
@@ -53,7 +53,7 @@
 		Incarnation: b.Incarnation(),
 		Counts:      b.counts,
 		Links:       []LinkStatus{},
-		Pongs:       b.pongBytes.Load(),
+		PongBytes:   b.pongBytes.Load(),
 		Subscribers: b.subscribers.status(),
 	}
 	for _, peerLink := range b.links {
--- a/internal/peer/subscriber_test.go
+++ b/internal/peer/subscriber_test.go
@@ -372,7 +372,7 @@
 		}
 
 		time.Sleep(time.Until(began.Add(2 * time.Second)))
-		got, took := uplinks.Status().Received, time.Since(began).Seconds()
+		got, took := uplinks.Status().ReceivedBytes, time.Since(began).Seconds()
 		if most := rate + rate*took + 2*size; float64(got) > most || float64(got) < most*0.95 {
 			t.Errorf("got %d bytes in %.2f s, want %.0f to %.0f", got, took, most*0.95, most)
 		}
@@ -590,8 +590,8 @@
 	if s := bus.Status().Subscribers; s.Bytes > got+40 || s.Frames > frames+2 || s.Oversize != 1 {
 		t.Errorf("counted %+v, want 1 oversize, and %d bytes and %d frames", s, got, frames)
 	}
-	eventually(t, "pongs", func() bool { return bus.Status().Pongs >= 40 && peerBus.Status().Pongs >= 40 })
-	if got := bus.Status().Pongs; got > 400 {
+	eventually(t, "pongs", func() bool { return bus.Status().PongBytes >= 40 && peerBus.Status().PongBytes >= 40 })
+	if got := bus.Status().PongBytes; got > 400 {
 		t.Errorf("got %d bytes of pongs, want at most 400", got)
 	}
 }
--- a/internal/peer/uplink_test.go
+++ b/internal/peer/uplink_test.go
@@ -207,7 +207,7 @@
 	options.Dial = dial
 	uplinks := OpenUplinks(options)
 	eventually(t, "the first", func() bool { return uplinks.Status().Active == control[0].Name })
-	uplinks.SetControl(control)
+	uplinks.SetControlMachines(control)
 	eventually(t, "both", func() bool { return uplinks.Status().Up == min(2, len(control)) })
 	return uplinks
 }
@@ -222,13 +222,13 @@
 // uplinkOptions returns the options of a director in a region that collects its messages.
 func uplinkOptions(name, region string, messages *directorMessages, control ...ControlMachine) UplinkOptions {
 	return UplinkOptions{
-		Name:         name,
-		Place:        changefeed.Place{Region: region, Zone: region + "1", Site: region + "1a"},
-		Control:      control,
-		Seed:         1,
-		Log:          logTo(io.Discard),
-		Subscription: messages.subscription,
-		Handler:      messages.deliver,
+		Name:            name,
+		Place:           changefeed.Place{Region: region, Zone: region + "1", Site: region + "1a"},
+		ControlMachines: control,
+		Seed:            1,
+		Log:             logTo(io.Discard),
+		Subscription:    messages.subscription,
+		Handler:         messages.deliver,
 	}
 }
 
@@ -406,8 +406,8 @@
 	if status.Choice.Failovers != 1 || status.Delivered != 52 || status.SubscriptionsSent != 2 || status.Passive != 0 {
 		t.Errorf("got %+v, want 1 failover, 52 messages delivered, 2 subscriptions sent and none passive", status)
 	}
-	if status.Received == 0 || status.Written == 0 {
-		t.Errorf("got %d bytes received and %d written, want some", status.Received, status.Written)
+	if status.ReceivedBytes == 0 || status.WrittenBytes == 0 {
+		t.Errorf("got %d bytes received and %d written, want some", status.ReceivedBytes, status.WrittenBytes)
 	}
 	linkOfB := slices.IndexFunc(status.Links, func(link UplinkLink) bool { return link.Name == "b" })
 	if rtt := status.Links[linkOfB].RTT; rtt <= 0 || rtt > 1000 {
@@ -625,13 +625,13 @@
 	uplinks := openUplinksInOrder(t, "d", "north", &messages, controlMachine("north", "north1", "a", a.Addr()), atB)
 	defer uplinks.Close()
 
-	uplinks.SetControl([]ControlMachine{controlMachine("north", "north1", "a", movedA.Addr()), atB})
+	uplinks.SetControlMachines([]ControlMachine{controlMachine("north", "north1", "a", movedA.Addr()), atB})
 	eventually(t, "the new address", func() bool { return uplinks.Status().Up == 2 && movedA.Status().Subscribers.Connected == 1 })
 	if n := b.Status().Subscribers.Accepted; n != 1 {
 		t.Errorf("b accepted %d connections, want 1", n)
 	}
 
-	uplinks.SetControl([]ControlMachine{controlMachine("west", "west1", "c", c.Addr()), atB})
+	uplinks.SetControlMachines([]ControlMachine{controlMachine("west", "west1", "c", c.Addr()), atB})
 	eventually(t, "the new machine", func() bool {
 		s := uplinks.Status()
 		return s.Up == 2 && stateOfLink(uplinks, "c") == "up" && stateOfLink(uplinks, "a") == "unlisted"
@@ -639,7 +639,7 @@
 	eventually(t, "the dropped link ended", func() bool { return movedA.Status().Subscribers.Connected == 0 })
 	publisherOfMovedA.checkDisconnected(t, 0)
 
-	uplinks.SetControl(nil)
+	uplinks.SetControlMachines(nil)
 	eventually(t, "no link is left", func() bool {
 		s := uplinks.Status()
 		return s.Up == 0 && s.Active == "" && s.UnlinkedFor > 0 && len(s.Links) == 0
--- a/internal/peer/uplinks.go
+++ b/internal/peer/uplinks.go
@@ -23,12 +23,12 @@
 
 // UplinkOptions are the options of a director's links to control machines.
 type UplinkOptions struct {
-	Name    string           // of the director
-	Place   changefeed.Place // of the director
-	Control []ControlMachine // the selector chooses two of them
-	Spread  time.Duration    // the first dials, and those after losses, are spread over it at random: directors must not dial all at once
-	Seed    uint64           // of the random choices; directors should have different ones
-	Log     *logrus.Entry    // nil: nothing is logged
+	Name            string           // of the director
+	Place           changefeed.Place // of the director
+	ControlMachines []ControlMachine // the selector chooses two of them
+	Spread          time.Duration    // the first dials, and those after losses, are spread over it at random: directors must not dial all at once
+	Seed            uint64           // of the random choices; directors should have different ones
+	Log             *logrus.Entry    // nil: nothing is logged
 	// Subscription returns the message that is sent on a link when it becomes the active one, and again after Resubscribe. A nil
 	// payload is not sent. Any goroutine may call it, also while Handler runs. It must not block for long.
 	Subscription func() (topic string, payload []byte)
@@ -78,7 +78,7 @@
 		log.SetOutput(io.Discard)
 		o.Log = logrus.NewEntry(log)
 	}
-	machines, addrs := splitAddresses(o.Control)
+	machines, addrs := splitAddresses(o.ControlMachines)
 	u := &Uplinks{
 		options: o,
 		start:   time.Now(),
@@ -110,8 +110,8 @@
 // sinceStart returns the time since the start, by the monotonic clock. It is the selector's clock.
 func (u *Uplinks) sinceStart() time.Duration { return time.Since(u.start) }
 
-// SetControl replaces the control machines. Links to those that stay at their address are kept.
-func (u *Uplinks) SetControl(control []ControlMachine) {
+// SetControlMachines replaces the control machines. Links to those that stay at their address are kept.
+func (u *Uplinks) SetControlMachines(control []ControlMachine) {
 	machines, addrs := splitAddresses(control)
 	u.change(func(now time.Duration) []changefeed.Action {
 		var actions []changefeed.Action
@@ -250,7 +250,7 @@
 			return nil
 		}
 		delete(u.links, l.name)
-		if skipped, ok := u.failureLog.Pass(time.Now()); ok {
+		if skipped, ok := u.failureLog.Allow(time.Now()); ok {
 			fields := logrus.Fields{"control": l.name, "addr": l.addr, "skipped": skipped}
 			u.options.Log.WithError(err).WithFields(fields).Warn(logMessage)
 		}
--- a/internal/peer/uplinkstatus.go
+++ b/internal/peer/uplinkstatus.go
@@ -22,8 +22,8 @@
 	Up                int                       `json:"up"`
 	Links             []UplinkLink              `json:"links"`      // one for each control machine, the most preferred first
 	UnlinkedFor       time.Duration             `json:"without_ns"` // for how long no link has been up; 0: one is up
-	Received          int64                     `json:"received"`   // bytes, with the frames and without TCP headers
-	Written           int64                     `json:"written"`    // bytes, as Received
+	ReceivedBytes     int64                     `json:"received"`   // bytes, with the frames and without TCP headers
+	WrittenBytes      int64                     `json:"written"`    // bytes, as Received
 	Delivered         int64                     `json:"heard"`      // messages passed to the handler
 	Passive           int64                     `json:"passive"`    // messages that came on a standby link and were discarded
 	SubscriptionsSent int64                     `json:"greeted"`
@@ -40,8 +40,8 @@
 		Active:            u.selector.Active(),
 		Links:             []UplinkLink{},
 		UnlinkedFor:       u.selector.UnlinkedFor(now),
-		Received:          u.counters.receivedBytes.Load(),
-		Written:           u.counters.writtenBytes.Load(),
+		ReceivedBytes:     u.counters.receivedBytes.Load(),
+		WrittenBytes:      u.counters.writtenBytes.Load(),
 		Delivered:         u.counters.delivered.Load(),
 		Passive:           u.counters.passive.Load(),
 		SubscriptionsSent: u.counters.subscriptionsSent.Load(),
--- a/internal/replay/adapter_test.go
+++ b/internal/replay/adapter_test.go
@@ -74,7 +74,7 @@
 	sourceRefused:   {"source refused", routing.SourceRejected},
 	sourceUnreached: {"source unreached", routing.SourceUnreachable},
 	sourceLacks:     {"source lacks", routing.SourceMiss},
-	noPlace:         {"no place", routing.FillsFull},
+	noPlace:         {"no place", routing.FillLimitReached},
 	originFailed:    {"origin failed", routing.OriginFailed},
 }
 
@@ -162,8 +162,8 @@
 func startCore(s scenario, o outside) core { return core{routing.New(s.settings(), front{o})} }
 
 func (c core) request(now time.Duration, a arrival) {
-	c.director.HandleRequest(now, routing.Request{ID: a.id, Object: a.object, Part: a.part, Group: a.group, Class: a.vhost, SizeKB: a.kilobyte, Deadline: a.deadline,
-		Unproven: a.first})
+	c.director.HandleRequest(now, routing.Request{ID: a.id, Object: a.object, Segment: a.part, Group: a.group, Class: a.vhost, SizeKB: a.kilobyte, Deadline: a.deadline,
+		ClientUnproven: a.first})
 }
 
 func (c core) ended(now time.Duration, request uint32, e attemptEnd) {
@@ -220,13 +220,13 @@
 func (s scenario) settings() routing.Settings {
 	const ms = time.Millisecond
 	vhosts := make([]routing.Class, hosts)
-	vhosts[clipHost] = routing.Class{LatencyObjective: 400 * ms, ObjectiveStretch: 2, MaxDeadline: 3000 * ms, Effect: routing.Idempotent, SplitInParts: true}
+	vhosts[clipHost] = routing.Class{LatencyObjective: 400 * ms, ObjectiveStretch: 2, MaxDeadline: 3000 * ms, Effect: routing.Idempotent, Segmented: true}
 	vhosts[pageHost] = routing.Class{LatencyObjective: 500 * ms, ObjectiveStretch: 1, MaxDeadline: 2500 * ms, Effect: routing.Idempotent, FreshFor: 6000 * ms, StaleGrace: 4000 * ms}
 	vhosts[logHost] = routing.Class{LatencyObjective: 600 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed, DedupScope: routing.DedupAll, DedupWindow: 2000 * ms, Write: true}
 	vhosts[zoneHost] = routing.Class{LatencyObjective: 500 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed, DedupScope: routing.DedupZone, DedupWindow: 1500 * ms}
 	vhosts[cellHost] = routing.Class{LatencyObjective: 500 * ms, MaxDeadline: 2500 * ms, Effect: routing.IdempotencyKeyed, DedupScope: routing.DedupCell, DedupWindow: 1500 * ms}
 	vhosts[payHost] = routing.Class{LatencyObjective: 700 * ms, MaxDeadline: 2000 * ms, Effect: routing.NonIdempotent, Write: true}
-	return routing.Settings{Seed: s.seed, Index: 2, Zone: ownZone, Classes: vhosts, Hub: []int{0, 1, 2}, ParentKind: parentKind, OriginKind: originKind,
+	return routing.Settings{Seed: s.seed, Index: 2, Zone: ownZone, Classes: vhosts, HubOfZone: []int{0, 1, 2}, ParentKind: parentKind, OriginKind: originKind,
 		BypassAllowed: s.direct, CancelAllowed: s.cancel, RetryAfterAllowed: s.retryAfter, MaxRetryAfter: 180 * ms, MaxAttempts: s.attempts, FlowKBPerSecond: s.flow,
 		CacheSlowStart:  routing.SlowStart{InitialShare: 0.15, Duration: 8 * time.Second, OverloadMultiple: 3, Window: 2 * time.Second},
 		ParentSlowStart: routing.SlowStart{InitialShare: 0.2, Duration: 6 * time.Second, OverloadMultiple: 2.5, Window: 2 * time.Second},
--- a/internal/resp/protocol.go
+++ b/internal/resp/protocol.go
@@ -140,7 +140,7 @@
 	"up_refused":   routing.SourceRejected,
 	"up_lost":      routing.SourceUnreachable,
 	"up_empty":     routing.SourceMiss,
-	"fills_full":   routing.FillsFull,
+	"fills_full":   routing.FillLimitReached,
 	"root_failed":  routing.OriginFailed,
 }
 
--- a/internal/routing/api.go
+++ b/internal/routing/api.go
@@ -36,14 +36,14 @@
 
 // Request is a client's request as it arrives.
 type Request struct {
-	ID       uint32
-	Object   uint64
-	Part     uint32        // segment of the object
-	Group    uint32        // purge group
-	Class    int           // index in Settings.Classes
-	SizeKB   float64       // size of the answer in KB; 0: unknown
-	Deadline time.Duration // time since the director's start
-	Unproven bool          // no request of this client was served yet, so a cache's failure may be the fault of the request
+	ID             uint32
+	Object         uint64
+	Segment        uint32        // segment of the object
+	Group          uint32        // purge group
+	Class          int           // index in Settings.Classes
+	SizeKB         float64       // size of the answer in KB; 0: unknown
+	Deadline       time.Duration // time since the director's start
+	ClientUnproven bool          // no request of this client was served yet, so a cache's failure may be the fault of the request
 }
 
 // Result is how an attempt ended.
@@ -85,7 +85,7 @@
 	SourceRejected                // the source rejected the fill
 	SourceUnreachable             // the source could not be reached
 	SourceMiss                    // the source had nothing cached and was not to fill it
-	FillsFull                     // the cache has too many fills in flight
+	FillLimitReached              // the cache has too many fills in flight
 	OriginFailed                  // the origin behind the source failed
 )
 
--- a/internal/routing/bench_test.go
+++ b/internal/routing/bench_test.go
@@ -17,7 +17,7 @@
 				b.ReportAllocs()
 				for i := range b.N {
 					id := uint32(i + 1)
-					serveHit(director, now, Request{ID: id, Object: uint64(i / 2), Part: uint32(i % 2), Deadline: now + 4*time.Second})
+					serveHit(director, now, Request{ID: id, Object: uint64(i / 2), Segment: uint32(i % 2), Deadline: now + 4*time.Second})
 					if now += 10 * ms; i%50 == 0 {
 						director.HandleTimer(now, 0)
 					}
--- a/internal/routing/fleetstart_test.go
+++ b/internal/routing/fleetstart_test.go
@@ -129,8 +129,8 @@
 	}
 	for object := uint64(1); len(fleet.objects) < 400; object++ {
 		caches, parents := []uint32{10, 11, 12, 13, 20}, []uint32{2, 3, 4, 5}
-		Homes(object, caches)
-		Homes(object, parents)
+		SortByPreference(object, caches)
+		SortByPreference(object, parents)
 		if caches[0] != 12 && caches[0] != 13 && parents[0] != 3 && parents[0] != 4 {
 			fleet.objects = append(fleet.objects, object)
 		}
--- a/internal/routing/preference.go
+++ b/internal/routing/preference.go
@@ -82,9 +82,9 @@
 	return order
 }
 
-// Homes sorts the ids of endpoints by preference for an object, as every director does where all capacities are alike. The
+// SortByPreference sorts the ids of endpoints by preference for an object, as every director does where all capacities are alike. The
 // object's home comes first.
-func Homes(object uint64, ids []uint32) {
+func SortByPreference(object uint64, ids []uint32) {
 	slices.SortFunc(ids, func(a, b uint32) int { return cmp.Compare(hash(object, uint64(b)), hash(object, uint64(a))) })
 }
 
--- a/internal/routing/request.go
+++ b/internal/routing/request.go
@@ -74,11 +74,11 @@
 		id:        arrived.ID,
 		token:     d.lastToken,
 		class:     d.classes[arrived.Class],
-		segment:   arrived.Part,
+		segment:   arrived.Segment,
 		sizeKB:    arrived.SizeKB,
 		arrivedAt: now,
 		deadline:  arrived.Deadline,
-		unproven:  arrived.Unproven,
+		unproven:  arrived.ClientUnproven,
 	}
 	request.maxFillWait = min(request.class.LatencyObjective, time.Duration(fillWaitShare*float64(request.deadline-now)))
 	d.requests[request.id], d.requestsByToken[request.token] = request, request
@@ -91,7 +91,7 @@
 // countRequest finds or makes the records of a request's object and document, and counts the request in them.
 func (d *Director) countRequest(now time.Duration, request *openRequest, arrived Request) {
 	request.object = d.object(arrived.Object, arrived.Group)
-	request.document = d.document(request.object, arrived.Part, request.class.SplitInParts)
+	request.document = d.document(request.object, arrived.Segment, request.class.Segmented)
 	request.document.requests.Add(now, 1)
 	request.document.lastRequest = now
 	request.object.requests++
--- a/internal/routing/scale_bench_test.go
+++ b/internal/routing/scale_bench_test.go
@@ -30,7 +30,7 @@
 			now, due, id := time.Duration(0), diffusionPeriod, uint32(0)
 			one := func() {
 				id++
-				serveHit(director, now, Request{ID: id, Object: uint64(id / 2), Part: id % 2, Deadline: now + 4*time.Second})
+				serveHit(director, now, Request{ID: id, Object: uint64(id / 2), Segment: id % 2, Deadline: now + 4*time.Second})
 				if now += step; now >= due {
 					director.HandleTimer(now, 0)
 					due += diffusionPeriod
--- a/internal/routing/settings.go
+++ b/internal/routing/settings.go
@@ -32,7 +32,7 @@
 	DedupWindow      time.Duration // time since the first attempt within which a repetition is dropped
 	FreshFor         time.Duration // 0: a copy is fresh until it is purged
 	StaleGrace       time.Duration // stale-while-revalidate window
-	SplitInParts     bool          // objects are requested, filled and cached in segments
+	Segmented        bool          // objects are requested, filled and cached in segments
 	Write            bool          // executed at the origin and never cached
 }
 
@@ -50,7 +50,7 @@
 	Index                           int    // number of the director, which sets its draws apart
 	Zone                            int    // zone of the director: its location
 	Classes                         []Class
-	Hub                             []int         // by zone: position of its hub in the ring of hubs
+	HubOfZone                       []int         // by zone: position of its hub in the ring of hubs
 	ParentKind                      int           // Endpoint.Kind of a parent
 	OriginKind                      int           // Endpoint.Kind of an origin
 	BypassAllowed                   bool          // a request may go to a parent where no cache is fit
@@ -91,7 +91,7 @@
 func deriveSettings(given Settings) routerSettings {
 	derived := routerSettings{
 		zone:               given.Zone,
-		hubOf:              given.Hub,
+		hubOf:              given.HubOfZone,
 		parentKind:         given.ParentKind,
 		originKind:         given.OriginKind,
 		bypassAllowed:      given.BypassAllowed,
@@ -110,10 +110,10 @@
 		healthChecks:       given.HealthChecks,
 		fillFaultsReported: given.FillFaultsReported,
 	}
-	if given.Zone < len(given.Hub) {
-		derived.hub = given.Hub[given.Zone]
+	if given.Zone < len(given.HubOfZone) {
+		derived.hub = given.HubOfZone[given.Zone]
 	}
-	for _, hub := range given.Hub {
+	for _, hub := range given.HubOfZone {
 		derived.hubs = max(derived.hubs, hub+1)
 	}
 	return derived
--- a/internal/routing/site_test.go
+++ b/internal/routing/site_test.go
@@ -84,7 +84,7 @@
 	return Settings{
 		Seed:              7,
 		Zone:              1,
-		Hub:               []int{0, 0},
+		HubOfZone:         []int{0, 0},
 		ParentKind:        1,
 		OriginKind:        2,
 		CancelAllowed:     true,
@@ -99,7 +99,7 @@
 				LatencyObjective: 400 * ms,
 				ObjectiveStretch: 2,
 				MaxDeadline:      4 * time.Second,
-				SplitInParts:     true,
+				Segmented:        true,
 			},
 			freshClass: {
 				LatencyObjective: 250 * ms,
@@ -232,7 +232,7 @@
 	request := &clientRequest{Request: Request{
 		ID:       site.nextID,
 		Object:   object,
-		Part:     segment,
+		Segment:  segment,
 		Group:    uint32(object % 4),
 		Class:    classIndex,
 		Deadline: site.now + timeout,
--- a/internal/routing/source_test.go
+++ b/internal/routing/source_test.go
@@ -54,7 +54,7 @@
 // hub comes first unless it is clearly slower.
 func TestNearParentComesFirst(t *testing.T) {
 	site := newManualSite(t, 1)
-	site.settings.Hub = []int{0, 0, 1, 2} // zone 1 hangs on hub 0, as zone 0 does
+	site.settings.HubOfZone = []int{0, 0, 1, 2} // zone 1 hangs on hub 0, as zone 0 does
 	site.director = New(site.settings, site)
 	site.updateEndpoints(true, Endpoint{Node: 1, State: Ready, Kind: 2}, Endpoint{Node: 2, State: Ready, Kind: 1, Zone: 0},
 		Endpoint{Node: 3, State: Ready, Kind: 1, Zone: 2}, Endpoint{Node: 10, State: Ready, Zone: 1})
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -65,7 +65,7 @@
 	log := options.newLogger(out).WithField("name", conf.Name)
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	director.Limit(conf)
+	director.SetRuntimeLimits(conf)
 	served := director.New(conf, log)
 	if options.Watch != nil {
 		watcher, watchErr := options.Watch(conf, served.StartTime(), log)
@@ -128,7 +128,7 @@
 
 // Check reads a configuration and prints a summary of it. It returns the first fault.
 func Check(out io.Writer, path string) error {
-	conf, err := config.File(path, "", "")
+	conf, err := config.ParseFile(path, "", "")
 	if err != nil {
 		return err
 	}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -106,7 +106,7 @@
 	if b.err != nil {
 		return
 	}
-	settings, err := config.Text(string(text))
+	settings, err := config.ParseText(string(text))
 	if err != nil {
 		b.fail(b.recordStart, err, "create")
 		return
@@ -165,7 +165,7 @@
 	var request routing.Request
 	request.ID = b.uint32()
 	b.skip(4)
-	request.Part = uint32(b.float32())
+	request.Segment = uint32(b.float32())
 	request.Group = uint32(b.float32())
 	b.skip(1)
 	request.Class = int(b.uint16())
--- a/internal/simulation/cache_server.go
+++ b/internal/simulation/cache_server.go
@@ -52,7 +52,7 @@
 // down.
 func (w *World) Submit(node uint32, request Request) {
 	m := w.machines[node]
-	if m == nil || !m.isUp() || m.Role != topology.Cache {
+	if m == nil || !m.isUp() || m.Role != topology.CacheRole {
 		w.respondLost(node, request.ID)
 		return
 	}
--- a/internal/simulation/fill.go
+++ b/internal/simulation/fill.go
@@ -55,7 +55,7 @@
 // startFill sends the request for a segment to its source. It arrives there after one hop, and one more for each step
 // between the hubs.
 func (w *World) startFill(f *fill) {
-	if f.source == nil || f.source.Role == topology.Cache {
+	if f.source == nil || f.source.Role == topology.CacheRole {
 		w.failFill(f, routing.SourceUnreachable)
 		return
 	}
--- a/internal/simulation/machine.go
+++ b/internal/simulation/machine.go
@@ -57,7 +57,7 @@
 func (w *World) newMachine(listed topology.Machine) *machine {
 	m := &machine{Machine: listed}
 	switch m.Role {
-	case topology.Cache:
+	case topology.CacheRole:
 		kind := &w.description.Kinds[m.Kind]
 		m.slowStart = w.description.SlowStart
 		m.memory = newCacheMemory(float64(kind.Memory))
@@ -147,7 +147,7 @@
 		return
 	}
 	share := w.capacityShare(m)
-	if m.Role == topology.Cache {
+	if m.Role == topology.CacheRole {
 		m.cores.setSpeed(w.now, share)
 		w.scheduleCompletion(m)
 	} else {
--- a/internal/simulation/usage.go
+++ b/internal/simulation/usage.go
@@ -17,12 +17,12 @@
 
 // Use is the utilization of one limit between two snapshots.
 type Use struct {
-	Name string  // of the machine, or "zone " and the name of the zone
-	What string  // LimitCores, LimitLink or LimitFetches
-	Zone int     // of the machine or link
-	Kind int     // of a cache or parent
-	ID   uint32  // of the machine; 0: the link of a zone
-	Used float64 // mean utilization, 0 to 1
+	Name     string  // of the machine, or "zone " and the name of the zone
+	Resource string  // LimitCores, LimitLink or LimitFetches
+	Zone     int     // of the machine or link
+	Kind     int     // of a cache or parent
+	ID       uint32  // of the machine; 0: the link of a zone
+	Used     float64 // mean utilization, 0 to 1
 }
 
 // Snapshot holds the counters of a world at one time. World.Uses compares it with the counters of a later time.
@@ -38,7 +38,7 @@
 	snapshot := Snapshot{at: w.now}
 	w.network.settle(w.now)
 	for _, m := range w.machineList {
-		if m.Role == topology.Cache {
+		if m.Role == topology.CacheRole {
 			m.cores.settle(w.now)
 		}
 		snapshot.coreSeconds = append(snapshot.coreSeconds, m.cores.busy)
@@ -65,14 +65,14 @@
 
 	for z, zone := range w.description.Zones {
 		used := linkRate(z) / float64(zone.Link)
-		uses = append(uses, Use{Name: "zone " + zone.Name, What: LimitLink, Zone: z, Used: used})
+		uses = append(uses, Use{Name: "zone " + zone.Name, Resource: LimitLink, Zone: z, Used: used})
 	}
 	link := len(w.description.Zones) // index of the link of the next parent or the origin
 	for i, m := range w.machineList {
 		use := func(what string, used float64) Use {
-			return Use{Name: m.Name, What: what, Zone: m.Zone, Kind: m.Kind, ID: m.ID, Used: used}
+			return Use{Name: m.Name, Resource: what, Zone: m.Zone, Kind: m.Kind, ID: m.ID, Used: used}
 		}
-		if m.Role == topology.Cache {
+		if m.Role == topology.CacheRole {
 			uses = append(uses, use(LimitCores, busyCores(i)/m.cores.count))
 			continue
 		}
--- a/internal/testing/emulator/directors.go
+++ b/internal/testing/emulator/directors.go
@@ -103,7 +103,7 @@
 	}
 	last, endpoints := f.discovery.snapshot()
 	seed := f.options.Seed + uint64(number)*hashMultiplier
-	known := discovery.KnownJSON(last, endpoints, zones, kinds)
+	known := discovery.NewSnapshot(last, endpoints, zones, kinds)
 	return f.description.Config(name, listen, f.discovery.addr.String(), zone, number, seed, known)
 }
 
--- a/internal/testing/emulator/discovery.go
+++ b/internal/testing/emulator/discovery.go
@@ -56,7 +56,7 @@
 // caller holds d.mu once the service runs.
 func (d *discoveryService) announced(id uint32) discovery.Endpoint {
 	server := d.fleet.servers[id]
-	endpoint := discovery.Endpoint{ID: id, Addr: server.advertised, Zone: server.machine.Zone, Kind: server.machine.KindOf(),
+	endpoint := discovery.Endpoint{ID: id, Addr: server.advertised, Zone: server.machine.Zone, Kind: server.machine.DiscoveryKind(),
 		State: routing.Ready, Capacity: 1}
 	if state, ok := d.states[id]; ok {
 		endpoint.State = state
--- a/internal/testing/emulator/rules.go
+++ b/internal/testing/emulator/rules.go
@@ -77,7 +77,7 @@
 
 // isNonIdempotent reports whether requests of the class must not be executed twice.
 func (r *ruleChecker) isNonIdempotent(class int) bool {
-	return r.fleet.description.Classes[class].EffectOf() == routing.NonIdempotent
+	return r.fleet.description.Classes[class].RoutingEffect() == routing.NonIdempotent
 }
 
 // addUnresolved adds an attempt at a request. It returns how many attempts may have been executed, this one included.
--- a/internal/testing/faultnet/conn.go
+++ b/internal/testing/faultnet/conn.go
@@ -64,7 +64,7 @@
 			return first, err
 		}
 		sent = first
-		if err := c.delayWrite(c.network.upTo(c.network.plan.LongestPause)); err != nil {
+		if err := c.delayWrite(c.network.upTo(c.network.plan.MaxWritePause)); err != nil {
 			return sent, err
 		}
 	}
@@ -88,7 +88,7 @@
 func (c *conn) awaitSendBuffer(kind Kind) error {
 	c.breakBy(kind)
 	if kind == BlockedWrite {
-		until := time.Now().Add(c.network.upTo(c.network.plan.LongestBlock))
+		until := time.Now().Add(c.network.upTo(c.network.plan.MaxWriteBlock))
 		c.mu.Lock()
 		if until.After(c.sendBufferFullUntil) {
 			c.sendBufferFullUntil = until
@@ -154,7 +154,7 @@
 // delayWrite delays a write. It returns an error if meanwhile the connection breaks or is closed, or the deadline for writes
 // passes. If the process was paused until both the delay and the deadline were over, the deadline counts, as in the system.
 func (c *conn) delayWrite(span time.Duration) error {
-	if delayed := c.network.plan.Delayed; delayed != nil {
+	if delayed := c.network.plan.OnDelay; delayed != nil {
 		from := time.Now()
 		defer func() { delayed(Delay{c.place, c.RemoteAddr().String(), from, time.Now()}) }()
 	}
--- a/internal/testing/faultnet/faultnet.go
+++ b/internal/testing/faultnet/faultnet.go
@@ -48,7 +48,7 @@
 
 // Faults that are not errors.
 const (
-	Late         Kind = "late"          // the connection comes up only after a while
+	LateDial     Kind = "late"          // the connection comes up only after a while
 	ShortRead    Kind = "short read"    // a read returns a few bytes, however many have arrived
 	ShortWrite   Kind = "short write"   // the bytes leave in two pieces with a pause between them
 	BlockedWrite Kind = "blocked write" // nothing leaves for a while
@@ -82,19 +82,19 @@
 	// Windows are the times at which faults are drawn, counted from New; none: always.
 	Windows []Window
 
-	LongestLate  time.Duration // longest delay of a late connection; 0: defaultLate
-	LongestPause time.Duration // longest pause within a short write; 0: defaultPause
-	LongestBlock time.Duration // longest time of a blocked write; 0: defaultBlock
+	MaxDialDelay  time.Duration // longest delay of a late connection; 0: defaultLate
+	MaxWritePause time.Duration // longest pause within a short write; 0: defaultPause
+	MaxWriteBlock time.Duration // longest time of a blocked write; 0: defaultBlock
 
 	// Plain hides SyscallConn of connections, so that callers that could use the descriptor call Read and Write. Otherwise
 	// reads and writes of the descriptor are not shortened, as this package cannot do that.
 	Plain bool
 
-	// Injected, if set, is called with each fault just before it is injected. It must not block.
-	Injected func(Fault)
-	// Delayed, if set, is called for each write that a ShortWrite or a BlockedWrite delayed, once it goes on or fails. It
+	// OnFault, if set, is called with each fault just before it is injected. It must not block.
+	OnFault func(Fault)
+	// OnDelay, if set, is called for each write that a ShortWrite or a BlockedWrite delayed, once it goes on or fails. It
 	// must not block.
-	Delayed func(Delay)
+	OnDelay func(Delay)
 }
 
 const (
@@ -127,7 +127,7 @@
 // allowed lists the kinds that may be injected at each place.
 var allowed = map[Place][]Kind{
 	AtDial: {NetUnreachable, HostUnreachable, AddressNotAvailable, ProcessFilesFull, SystemFilesFull, NoBuffers, NoMemory,
-		NotPermitted, Refused, TimedOut, Late},
+		NotPermitted, Refused, TimedOut, LateDial},
 	AtAccept:   {Aborted, ProcessFilesFull, SystemFilesFull, NoBuffers, NoMemory, NotPermitted, Interrupted},
 	OnDialed:   {TimedOut, HostUnreachable, Reset, ShortRead, ShortWrite, BlockedWrite},
 	OnAccepted: {TimedOut, HostUnreachable, Reset, ShortRead, ShortWrite, BlockedWrite},
@@ -177,9 +177,9 @@
 	for place, rates := range n.rates {
 		checkRates(place, rates)
 	}
-	setDefault(&n.plan.LongestLate, defaultLate)
-	setDefault(&n.plan.LongestPause, defaultPause)
-	setDefault(&n.plan.LongestBlock, defaultBlock)
+	setDefault(&n.plan.MaxDialDelay, defaultLate)
+	setDefault(&n.plan.MaxWritePause, defaultPause)
+	setDefault(&n.plan.MaxWriteBlock, defaultBlock)
 	return n
 }
 
@@ -221,8 +221,8 @@
 // draw draws one of the kinds by its rate at the place, or "" for none, and counts it. It reports it to Plan.Injected.
 func (n *Network) draw(place Place, remote string, kinds ...Kind) Kind {
 	kind := n.drawKind(place, kinds)
-	if kind != "" && n.plan.Injected != nil {
-		n.plan.Injected(Fault{place, kind, remote})
+	if kind != "" && n.plan.OnFault != nil {
+		n.plan.OnFault(Fault{place, kind, remote})
 	}
 	return kind
 }
@@ -274,10 +274,10 @@
 	var system net.Dialer
 	switch kind := n.draw(AtDial, address, allowed[AtDial]...); kind {
 	case "":
-	case Late:
+	case LateDial:
 		select {
 		case <-ctx.Done(): // the dial below returns the context's error
-		case <-time.After(n.upTo(n.plan.LongestLate)):
+		case <-time.After(n.upTo(n.plan.MaxDialDelay)):
 		}
 	default:
 		return nil, dialError(kind, network, address)
--- a/internal/testing/faultnet/faultnet_test.go
+++ b/internal/testing/faultnet/faultnet_test.go
@@ -91,7 +91,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	n := New(1, Plan{Dial: Rates{Late: 1}, LongestLate: 100 * time.Millisecond})
+	n := New(1, Plan{Dial: Rates{LateDial: 1}, MaxDialDelay: 100 * time.Millisecond})
 	before := time.Now()
 	c, err := n.DialContext(context.Background(), "tcp", l.Addr().String())
 	if err != nil {
@@ -101,7 +101,7 @@
 	if took := time.Since(before); took < 10*time.Millisecond {
 		t.Errorf("connected after %v, want 10 ms or more", took)
 	}
-	n = New(1, Plan{Dial: Rates{Late: 1}, LongestLate: time.Hour})
+	n = New(1, Plan{Dial: Rates{LateDial: 1}, MaxDialDelay: time.Hour})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
 	_, err = n.DialContext(ctx, "tcp", l.Addr().String())
@@ -146,8 +146,8 @@
 // Short reads and writes transfer all bytes in order. net.Buffers are written through Write as well.
 func TestShortReadsAndWrites(t *testing.T) {
 	short := Rates{ShortRead: 0.5, ShortWrite: 0.5}
-	accepting := New(1, Plan{Accepted: short, Plain: true, LongestPause: time.Millisecond})
-	dialing := New(2, Plan{Dialed: short, LongestPause: time.Millisecond})
+	accepting := New(1, Plan{Accepted: short, Plain: true, MaxWritePause: time.Millisecond})
+	dialing := New(2, Plan{Dialed: short, MaxWritePause: time.Millisecond})
 	accepted, dialed := pair(t, accepting, dialing)
 	text := bytes.Repeat([]byte("0123456789abcdef"), 4096)
 	go func() {
@@ -175,7 +175,7 @@
 // The bytes of a blocked write leave after a while. If its deadline passes before, even one set meanwhile, or the connection is
 // closed, nothing leaves.
 func TestBlockedWrites(t *testing.T) {
-	dialing := New(1, Plan{Dialed: Rates{BlockedWrite: 1}, LongestBlock: 30 * time.Millisecond})
+	dialing := New(1, Plan{Dialed: Rates{BlockedWrite: 1}, MaxWriteBlock: 30 * time.Millisecond})
 	accepted, dialed := pair(t, New(1, Plan{}), dialing)
 	before := time.Now()
 	if n, err := dialed.Write([]byte("x")); n != 1 || err != nil || time.Since(before) < 3*time.Millisecond {
@@ -189,7 +189,7 @@
 		"deadline meanwhile": func(c net.Conn) { time.AfterFunc(5*time.Millisecond, func() { c.SetWriteDeadline(longPast) }) },
 		"close":              func(c net.Conn) { time.AfterFunc(5*time.Millisecond, func() { c.Close() }) },
 	} {
-		accepted, dialed = pair(t, New(1, Plan{}), New(1, Plan{Dialed: Rates{BlockedWrite: 1}, LongestBlock: time.Hour}))
+		accepted, dialed = pair(t, New(1, Plan{}), New(1, Plan{Dialed: Rates{BlockedWrite: 1}, MaxWriteBlock: time.Hour}))
 		end(dialed)
 		n, err := dialed.Write([]byte("x"))
 		if n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) && !errors.Is(err, net.ErrClosed) {
@@ -230,7 +230,7 @@
 		defer here.Close()
 		defer there.Close()
 		system := &timerlessConn{Conn: here}
-		faults := Plan{Dialed: Rates{ShortWrite: 1}, LongestPause: time.Millisecond, Injected: func(Fault) { time.Sleep(injecting) }}
+		faults := Plan{Dialed: Rates{ShortWrite: 1}, MaxWritePause: time.Millisecond, OnFault: func(Fault) { time.Sleep(injecting) }}
 		c := newConn(New(1, faults), system, OnDialed)
 		c.SetWriteDeadline(time.Now().Add(test.within))
 		n, err := c.Write([]byte("xyz"))
@@ -242,7 +242,7 @@
 
 // A full send buffer blocks a wait for the descriptor to take bytes, and later writes, until it has room.
 func TestBlockedDescriptors(t *testing.T) {
-	dialing := New(1, Plan{Dialed: Rates{BlockedWrite: 1}, LongestBlock: time.Hour})
+	dialing := New(1, Plan{Dialed: Rates{BlockedWrite: 1}, MaxWriteBlock: time.Hour})
 	_, dialed := pair(t, New(1, Plan{}), dialing)
 	raw, err := dialed.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -355,7 +355,7 @@
 func TestInjectedIsCalled(t *testing.T) {
 	var mu sync.Mutex
 	var injected []Fault
-	n := New(1, Plan{Accepted: Rates{Reset: 1}, Injected: func(f Fault) {
+	n := New(1, Plan{Accepted: Rates{Reset: 1}, OnFault: func(f Fault) {
 		mu.Lock()
 		defer mu.Unlock()
 		injected = append(injected, f)
--- a/internal/testing/hollow/node.go
+++ b/internal/testing/hollow/node.go
@@ -83,8 +83,8 @@
 	return true, true
 }
 
-// PeerHealth counts a peer's report about a machine.
-func (d *idleDirector) PeerHealth(_ uint32, _ int64, alive bool, _ time.Duration) {
+// HandlePeerHealth counts a peer's report about a machine.
+func (d *idleDirector) HandlePeerHealth(_ uint32, _ int64, alive bool, _ time.Duration) {
 	d.healthReports.Add(1)
 	if !alive {
 		d.unresponsiveReports.Add(1)
--- a/internal/testing/hollow/report.go
+++ b/internal/testing/hollow/report.go
@@ -138,7 +138,7 @@
 // reportMember adds the links of a member.
 func (n *node) reportMember(r *NodeReport) {
 	for _, link := range n.member.Status().Bus.Links {
-		r.Written += link.Bytes
+		r.Written += link.WrittenBytes
 		if link.State == linkUp {
 			r.Links++
 		}
@@ -152,7 +152,7 @@
 	status := n.follower.Status()
 	r.Reader = status.Feed
 	r.ActiveUplink, r.Links = status.Uplinks.Active, status.Uplinks.Up
-	r.Received, r.Written = status.Uplinks.Received, status.Uplinks.Written
+	r.Received, r.Written = status.Uplinks.ReceivedBytes, status.Uplinks.WrittenBytes
 }
 
 // addReaderCounts returns the sum of each count.
@@ -163,7 +163,7 @@
 		Gaps:       a.Gaps + b.Gaps,
 		Expired:    a.Expired + b.Expired,
 		Invalid:    a.Invalid + b.Invalid,
-		Old:        a.Old + b.Old,
+		OldEpochs:  a.OldEpochs + b.OldEpochs,
 		Losses:     a.Losses + b.Losses,
 		Superseded: a.Superseded + b.Superseded,
 	}
--- a/internal/testing/mixed/director_test.go
+++ b/internal/testing/mixed/director_test.go
@@ -75,16 +75,16 @@
 		return rates
 	}
 	return faultnet.Plan{
-		Dial:   each(faultnet.AtDial, 0.02, faultnet.Rates{faultnet.Late: 0.1}),
+		Dial:   each(faultnet.AtDial, 0.02, faultnet.Rates{faultnet.LateDial: 0.1}),
 		Accept: each(faultnet.AtAccept, 0.03, nil),
 		Dialed: each(faultnet.OnDialed, 0.001,
 			faultnet.Rates{faultnet.ShortRead: 0.1, faultnet.ShortWrite: 0.05, faultnet.BlockedWrite: 0.02}),
 		Accepted: each(faultnet.OnAccepted, 0.0003,
 			faultnet.Rates{faultnet.ShortWrite: 0.05, faultnet.BlockedWrite: 0.002, faultnet.ShortRead: 0}),
-		Windows:      []faultnet.Window{{Until: span}},
-		LongestLate:  longestLate,
-		LongestBlock: longestBlock,
-		LongestPause: longestPause,
+		Windows:       []faultnet.Window{{Until: span}},
+		MaxDialDelay:  longestLate,
+		MaxWriteBlock: longestBlock,
+		MaxWritePause: longestPause,
 	}
 }
 
@@ -102,12 +102,12 @@
 	if err != nil {
 		return err
 	}
-	director.Limit(conf)
+	director.SetRuntimeLimits(conf)
 	log := logrus.New()
 	log.SetOutput(&slowWriter{to: os.Stderr, chance: rand.New(rand.NewPCG(seed, 2))})
 	faults := plan(time.Duration(span) * time.Millisecond)
-	faults.Injected = func(f faultnet.Fault) { report(reportFault, timedFault{f, time.Now()}.line()) }
-	faults.Delayed = func(d faultnet.Delay) {
+	faults.OnFault = func(f faultnet.Fault) { report(reportFault, timedFault{f, time.Now()}.line()) }
+	faults.OnDelay = func(d faultnet.Delay) {
 		if d.Place == faultnet.OnAccepted {
 			report(reportDelay, fmt.Sprint(d.From.UnixNano(), d.To.UnixNano(), " ", d.Remote))
 		}
--- a/internal/testing/scenario/overload.go
+++ b/internal/testing/scenario/overload.go
@@ -50,7 +50,7 @@
 	{
 		Name: "a fifth of the caches cold",
 		begin: func(cluster *testcluster.Cluster) {
-			caches := machineIDs(cluster, topology.Cache)
+			caches := machineIDs(cluster, topology.CacheRole)
 			cluster.Emulator.Restart(caches[:len(caches)/5]...)
 		},
 		end: func(*testcluster.Cluster) {},
@@ -186,7 +186,7 @@
 
 // forwardedToCaches returns how many requests the caches have received so far.
 func forwardedToCaches(cluster *testcluster.Cluster) (forwarded int) {
-	for _, id := range machineIDs(cluster, topology.Cache) {
+	for _, id := range machineIDs(cluster, topology.CacheRole) {
 		requests, _ := cluster.Emulator.Received(id)
 		forwarded += requests
 	}
--- a/internal/testing/scenario/plan.go
+++ b/internal/testing/scenario/plan.go
@@ -123,7 +123,7 @@
 // that no machine fails when a share of the caches restarts empty.
 func measurePlan(planner *capacity.Planner, r *Report, setups planSetups) error {
 	runner := &emulator.Runner{Parallel: planParallelRuns, MaxLateness: maxEmulatorDelay}
-	results, err := runner.Run(planner.Fleet, planner.Demand, []capacity.Setup{setups.below, setups.above, setups.coldReturn})
+	results, err := runner.Run(planner.Topology, planner.Demand, []capacity.Setup{setups.below, setups.above, setups.coldReturn})
 	if err != nil {
 		return err
 	}
--- a/internal/testing/testcluster/idle_test.go
+++ b/internal/testing/testcluster/idle_test.go
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	for _, link := range status.Bus.Links {
-		usage.sent += link.Bytes
+		usage.sent += link.WrittenBytes
 	}
 	return usage
 }
--- a/internal/testing/testcluster/probing_test.go
+++ b/internal/testing/testcluster/probing_test.go
@@ -50,7 +50,7 @@
 	}
 	var caches []topology.Machine
 	for _, machine := range c.Emulator.Machines() {
-		if machine.Role == topology.Cache {
+		if machine.Role == topology.CacheRole {
 			caches = append(caches, machine)
 		}
 	}
--- a/internal/topology/decode.go
+++ b/internal/topology/decode.go
@@ -72,7 +72,7 @@
 // parseDocument returns the root of the only document in a file.
 func parseDocument(file string, raw []byte) (ast.Node, *Fault) {
 	if len(raw) > maxFileBytes {
-		return nil, &Fault{File: file, Expects: fmt.Sprintf("at most %d MB expected", maxFileBytes>>20)}
+		return nil, &Fault{File: file, Expected: fmt.Sprintf("at most %d MB expected", maxFileBytes>>20)}
 	}
 	tree, err := parser.ParseBytes(raw, 0)
 	if err != nil {
@@ -80,7 +80,7 @@
 		return nil, &fault
 	}
 	if len(tree.Docs) != 1 || tree.Docs[0].Body == nil {
-		return nil, &Fault{File: file, Found: fmt.Sprintf("%d documents, or an empty one", len(tree.Docs)), Expects: "one document"}
+		return nil, &Fault{File: file, Found: fmt.Sprintf("%d documents, or an empty one", len(tree.Docs)), Expected: "one document"}
 	}
 	return tree.Docs[0].Body, nil
 }
@@ -93,8 +93,8 @@
 	firstLine, _, _ := strings.Cut(err.Error(), "\n")
 	position := yamlPosition.FindStringSubmatch(firstLine)
 	if position == nil {
-		return Fault{File: file, Expects: firstLine}
+		return Fault{File: file, Expected: firstLine}
 	}
 	line, _ := strconv.Atoi(position[1])
-	return Fault{File: file, Line: line, Expects: strings.TrimPrefix(firstLine, position[0])}
+	return Fault{File: file, Line: line, Expected: strings.TrimPrefix(firstLine, position[0])}
 }
--- a/internal/topology/fault.go
+++ b/internal/topology/fault.go
@@ -10,11 +10,11 @@
 
 // Fault is one fault in a file.
 type Fault struct {
-	File    string
-	Line    int    // from 1; 0: the fault is in the file as a whole
-	Key     string // path of the key, such as kinds[2].number; empty: none
-	Found   string // what the file has; empty: Expects is the complete message
-	Expects string // what is expected
+	File     string
+	Line     int    // from 1; 0: the fault is in the file as a whole
+	Key      string // path of the key, such as kinds[2].number; empty: none
+	Found    string // what the file has; empty: Expects is the complete message
+	Expected string // what is expected
 }
 
 // Error returns the file, the line, the key, what was found and what is expected, as far as they are known.
@@ -27,9 +27,9 @@
 		where += ": " + f.Key
 	}
 	if f.Found == "" {
-		return where + ": " + f.Expects
+		return where + ": " + f.Expected
 	}
-	return fmt.Sprintf("%s: found %s, expected %s", where, f.Found, f.Expects)
+	return fmt.Sprintf("%s: found %s, expected %s", where, f.Found, f.Expected)
 }
 
 // Faults are all faults of a file, in the order of lines.
@@ -62,5 +62,5 @@
 		return
 	}
 	l.keys[key] = true
-	l.faults = append(l.faults, Fault{File: l.file, Line: l.lines.lineOf(key), Key: key, Found: found, Expects: expects})
+	l.faults = append(l.faults, Fault{File: l.file, Line: l.lines.lineOf(key), Key: key, Found: found, Expected: expects})
 }
--- a/internal/topology/machine.go
+++ b/internal/topology/machine.go
@@ -12,8 +12,8 @@
 type Role uint8
 
 const (
-	// Cache is a machine that directors forward requests to.
-	Cache Role = iota
+	// CacheRole is a machine that directors forward requests to.
+	CacheRole Role = iota
 	// ParentRole is a machine that fills caches.
 	ParentRole
 	// OriginRole is the origin server.
@@ -29,8 +29,8 @@
 	Zone int // index in Zones; 0 for the origin
 }
 
-// KindOf returns the kind under which the discovery service lists a machine.
-func (m Machine) KindOf() int { return int(m.Role) }
+// DiscoveryKind returns the kind under which the discovery service lists a machine.
+func (m Machine) DiscoveryKind() int { return int(m.Role) }
 
 // IDs of parents and the origin. All IDs of caches are below FirstParentID.
 const (
@@ -62,7 +62,7 @@
 				caches = append(caches, Machine{
 					ID:   freeCacheID(k, z, i, taken),
 					Name: machineName(kind.Name, zone.Name, i),
-					Role: Cache,
+					Role: CacheRole,
 					Kind: k,
 					Zone: z,
 				})
--- a/internal/topology/platform_config.go
+++ b/internal/topology/platform_config.go
@@ -137,7 +137,7 @@
 		Zone:      s.Zone,
 		Domain: platformDomain{
 			FlowKBPerSecond:        s.FlowKBPerSecond,
-			Hubs:                   s.Hub,
+			Hubs:                   s.HubOfZone,
 			ParentKind:             s.ParentKind,
 			ParentOverloadMultiple: s.ParentSlowStart.OverloadMultiple,
 			ParentInitialShare:     s.ParentSlowStart.InitialShare,
@@ -183,7 +183,7 @@
 	domain := &s.Domain
 	domain.FreshFor = append(domain.FreshFor, micros(class.FreshFor))
 	domain.StaleGrace = append(domain.StaleGrace, micros(class.StaleGrace))
-	domain.SplitInParts = append(domain.SplitInParts, class.SplitInParts)
+	domain.SplitInParts = append(domain.SplitInParts, class.Segmented)
 	domain.Writes = append(domain.Writes, class.Write)
 }
 
--- a/internal/topology/request_class.go
+++ b/internal/topology/request_class.go
@@ -52,8 +52,8 @@
 	dedupCell = "cell"
 )
 
-// EffectOf returns whether the requests of the class are idempotent.
-func (c *RequestClass) EffectOf() routing.Effect {
+// RoutingEffect returns whether the requests of the class are idempotent.
+func (c *RequestClass) RoutingEffect() routing.Effect {
 	switch c.Effect {
 	case effectIdempotent:
 		return routing.Idempotent
--- a/internal/topology/settings.go
+++ b/internal/topology/settings.go
@@ -44,7 +44,7 @@
 	}
 	settings.ParentSlowStart.Window = settings.CacheSlowStart.Window // directors have one setting for both
 	for _, z := range t.Zones {
-		settings.Hub = append(settings.Hub, z.Hub)
+		settings.HubOfZone = append(settings.HubOfZone, z.Hub)
 		settings.Directors += z.Directors
 	}
 	for i := range t.Classes {
@@ -59,12 +59,12 @@
 		LatencyObjective: c.LatencyObjective.Duration(),
 		ObjectiveStretch: c.ObjectiveStretch,
 		MaxDeadline:      c.Timeout.Duration(),
-		Effect:           c.EffectOf(),
+		Effect:           c.RoutingEffect(),
 		DedupScope:       c.dedupScope(),
 		DedupWindow:      c.DedupWindow.Duration(),
 		FreshFor:         c.FreshFor.Duration(),
 		StaleGrace:       c.StaleGrace.Duration(),
-		SplitInParts:     c.Parts > 0,
+		Segmented:        c.Parts > 0,
 		Write:            c.Write,
 	}
 }
--- a/internal/topology/settings_test.go
+++ b/internal/topology/settings_test.go
@@ -12,7 +12,7 @@
 // settings with which simulated runs start their directors.
 func TestConfigGivesTheSameSettings(t *testing.T) {
 	description := exampleTopology(t)
-	known := discovery.KnownJSON(1, nil, []string{"west"}, []string{"cache", "parent", "origin"})
+	known := discovery.NewSnapshot(1, nil, []string{"west"}, []string{"cache", "parent", "origin"})
 	raw, err := description.Config("n0", "127.0.0.1:1", "127.0.0.1:2", 0, 0, 7, known)
 	if err != nil {
 		t.Fatal(err)
