--- a/cmd/indigochute/hollow_talk.go
+++ b/cmd/indigochute/hollow_talk.go
@@ -191,8 +191,8 @@
 		label string
 		rates hollow.Rates
 	}{
-		{"real, without an operator file", comparison.Without},
-		{"real, with an operator file", comparison.With},
+		{"real, without an operator file", comparison.RealStandalone},
+		{"real, with an operator file", comparison.RealFollowing},
 		{"real, difference of the two", comparison.Real},
 		{"hollow, less a host without directors", comparison.Hollow},
 	} {
--- a/internal/testing/hollow/compare.go
+++ b/internal/testing/hollow/compare.go
@@ -1,6 +1,6 @@
 package hollow
 
-// This file compares a real director with a hollow one by what it costs them to follow control machines.
+// This file compares the cost of following control machines for a real director and for a hollow one.
 
 import (
 	"errors"
@@ -40,23 +40,23 @@
 // Comparison holds what it costs a real director and a hollow one to follow control machines. The cost of each is its usage
 // less what it uses without control machines.
 type Comparison struct {
-	Directors int   `json:"directors"`
-	Without   Rates `json:"real_without"` // a real director without a cluster configuration
-	With      Rates `json:"real_with"`    // a real director that follows control machines
-	Real      Rates `json:"real"`         // With less Without
-	Hollow    Rates `json:"hollow"`       // one director's share of a host, less that of a host without directors
-	Ratio     Rates `json:"ratio"`        // Hollow divided by Real; 0 for goroutines, which are unknown for real directors
+	Directors      int   `json:"directors"`
+	RealStandalone Rates `json:"real_without"` // a real director without a cluster configuration
+	RealFollowing  Rates `json:"real_with"`    // a real director that follows control machines
+	Real           Rates `json:"real"`         // difference of the two above: the cost of following control machines
+	Hollow         Rates `json:"hollow"`       // one director's share of a host, less that of a host without directors
+	Ratio          Rates `json:"ratio"`        // Hollow divided by Real; 0 for goroutines, which are unknown for real directors
 }
 
 // Compare measures a number of real directors without and with a cluster configuration, in front of emulated machines without
 // clients, and as many hollow directors.
 func (m *Meter) Compare(directors int) (*Comparison, error) {
 	if directors < 1 || directors > MaxRealDirectors {
-		return nil, fmt.Errorf("hollow: %d real directors: 1 to %d are expected", directors, MaxRealDirectors)
+		return nil, fmt.Errorf("hollow: %d real directors, want 1 to %d", directors, MaxRealDirectors)
 	}
 	c := &Comparison{Directors: directors}
 	var err error
-	if c.Without, err = m.measureReal(directors, nil); err != nil {
+	if c.RealStandalone, err = m.measureReal(directors, nil); err != nil {
 		return nil, err
 	}
 	layout := Layout{Directors: directors, NameFormat: "n%d", Settings: trafficJobs}
@@ -65,14 +65,14 @@
 		return nil, err
 	}
 	defer control.Close()
-	if c.With, err = m.measureReal(directors, control); err != nil {
+	if c.RealFollowing, err = m.measureReal(directors, control); err != nil {
 		return nil, err
 	}
 	if c.Hollow, err = m.measureHollow(directors, control); err != nil {
 		return nil, err
 	}
 	m.Progress(fmt.Sprintf("%d real directors and as many hollow ones", directors))
-	c.Real = c.With.minus(c.Without)
+	c.Real = c.RealFollowing.minus(c.RealStandalone)
 	c.Ratio = Rates{
 		Received: ratio(c.Hollow.Received, c.Real.Received),
 		Written:  ratio(c.Hollow.Written, c.Real.Written),
@@ -115,8 +115,8 @@
 	return all[1].minus(all[0]).dividedBy(directors), nil
 }
 
-// measureReal returns the mean usage of a number of real directors. They follow the control machines, or know of no other
-// process if control is nil.
+// measureReal returns the mean usage of a number of real directors. They follow the control machines, or run
+// without a cluster configuration if control is nil.
 func (m *Meter) measureReal(directors int, control *ControlPlane) (rates Rates, err error) {
 	network, err := topology.Parse("quiet", fmt.Appendf(nil, idleTopology, directors))
 	if err != nil {
@@ -148,8 +148,8 @@
 	if err != nil {
 		return rates, err
 	}
-	for _, one := range all {
-		rates = rates.plus(one)
+	for _, director := range all {
+		rates = rates.plus(director)
 	}
 	return rates.dividedBy(directors), nil
 }
@@ -170,15 +170,15 @@
 		return err
 	}
 	for i := range number {
-		if err := d.startOne(i); err != nil {
+		if err := d.startDirector(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startOne starts the director with a number and waits until it accepts clients.
-func (d *realDirectors) startOne(number int) error {
+// startDirector starts the director with the given number and waits until it accepts clients.
+func (d *realDirectors) startDirector(number int) error {
 	address, err := emulator.FreePort()
 	if err != nil {
 		return err
@@ -198,7 +198,7 @@
 	command := exec.Command(d.program, args...)
 	command.Env = append(os.Environ(), "ROUTER_CONFIG="+path)
 	command.Stderr = os.Stderr
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends it even if its parent is killed
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the director even if this process is killed
 	if err := command.Start(); err != nil {
 		return err
 	}
@@ -214,7 +214,7 @@
 	return pids
 }
 
-// kill ends all directors at once, and removes their files.
+// kill ends all directors immediately and removes their files.
 func (d *realDirectors) kill() {
 	for _, command := range d.commands {
 		command.Process.Kill()
--- a/internal/testing/hollow/meter_test.go
+++ b/internal/testing/hollow/meter_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("traffic %+v, want 2 sizes, that of 2 instances first, and 5 fits", traffic)
 	}
 	small, large := traffic.Sizes[0].Director, traffic.Sizes[1].Director // 2 and 5 instances
-	// To each other instance pings and as many pongs take 47 bytes a second each, beside health reports and messages of jobs.
+	// Pings to another instance take 47 bytes a second, and so do pongs. Health reports and messages of jobs come on top.
 	const minBytes = 80.0
 	if small.Received < minBytes || small.Written < minBytes {
 		t.Errorf("with 2 instances %+v, want at least %v bytes a second in each direction", small, minBytes)
@@ -59,16 +59,16 @@
 	}
 	small, large := traffic.Sizes[0], traffic.Sizes[1] // 4 and 16 directors
 	if small.Director.Received < 100 {
-		t.Errorf("of 4 directors one receives %.0f bytes a second, want at least 100", small.Director.Received)
+		t.Errorf("each of 4 directors receives %.0f bytes a second, want at least 100", small.Director.Received)
 	}
 	if large.Director.Received > 2*small.Director.Received || large.Director.Written > 2*small.Director.Written {
-		t.Errorf("of 16 directors one has %+v, want at most twice the bytes of %+v", large.Director, small.Director)
+		t.Errorf("each of 16 directors has %+v, want at most twice the bytes of %+v", large.Director, small.Director)
 	}
 	if large.Control.Written <= small.Control.Written {
 		t.Errorf("a control machine writes %.0f bytes a second to 16 directors, want more than %.0f", large.Control.Written, small.Control.Written)
 	}
 	if large.ControlMax.Written < large.Control.Written {
-		t.Errorf("the most that a control machine writes is %.0f bytes a second, want at least the mean %.0f", large.ControlMax.Written,
+		t.Errorf("the busiest control machine writes %.0f bytes a second, want at least the mean %.0f", large.ControlMax.Written,
 			large.Control.Written)
 	}
 	if large.Control.Cores <= 0 || large.Control.Goroutines == 0 {
@@ -83,12 +83,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.With.Received <= c.Without.Received {
-		t.Errorf("a real director with control machines receives %.0f bytes a second, want more than %.0f without", c.With.Received,
-			c.Without.Received)
+	if c.RealFollowing.Received <= c.RealStandalone.Received {
+		t.Errorf("a real director with control machines receives %.0f bytes a second, want more than %.0f without", c.RealFollowing.Received,
+			c.RealStandalone.Received)
 	}
-	if c.Hollow.Received <= 0 || c.Without.Resident < 1<<20 {
-		t.Errorf("hollow %+v, real without control machines %+v, want some bytes received and at least 1 MiB of memory", c.Hollow, c.Without)
+	if c.Hollow.Received <= 0 || c.RealStandalone.Resident < 1<<20 {
+		t.Errorf("hollow %+v, real without control machines %+v, want some bytes received and at least 1 MiB of memory", c.Hollow, c.RealStandalone)
 	}
 	if ratio := c.Ratio.Received; ratio < 0.5 || ratio > 2 {
 		t.Errorf("a hollow director receives %.2f times what a real one does, want 0.5 to 2", ratio)
--- a/internal/testing/testcluster/overload_test.go
+++ b/internal/testing/testcluster/overload_test.go
@@ -90,5 +90,5 @@
 	}
 	fmt.Printf("| %d | %s | %g | %.3f | %.3f | %.3f | %.1f | %.2f | %.2f | %.3f | %.3f | late %v\n", r.directors, r.cause.Name,
 		r.loadFactor, result.Before, result.During, result.After, result.Recovery.Seconds(), result.Forwarded,
-		result.ClientRetries, result.RejectedShare, result.RejectedSpread, result.Late)
+		result.ClientRetries, result.RejectedShare, result.RejectedSpread, result.Lateness)
 }
